--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -340,7 +340,7 @@
                     };
                     context.engine.tell(event::Event::Calls(ended));
                 }
-                calls::CallEffect::Pass(_) => {
+                calls::CallEffect::ForwardAnswer(_) => {
                     let answer = answer.expect("an answer has begun before it is passed");
                     if !is_claimed.load(Ordering::Relaxed) {
                         drop(guard);
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -279,11 +279,11 @@
             }
             calls::RunResult::NotConnected => CallFailure::NotConnected,
             calls::RunResult::Declined => CallFailure::Declined,
-            calls::RunResult::Misplaced => CallFailure::Misplaced,
-            calls::RunResult::Unsound => CallFailure::Unsound,
+            calls::RunResult::WrongTarget => CallFailure::Misplaced,
+            calls::RunResult::Malformed => CallFailure::Unsound,
             calls::RunResult::Crashed => CallFailure::Crashed,
             calls::RunResult::TimedOut => CallFailure::TimedOut,
-            calls::RunResult::Cut => CallFailure::Cut,
+            calls::RunResult::Truncated => CallFailure::Cut,
             calls::RunResult::CallerGone => CallFailure::CallerGone,
         };
         self.count_run(open, failure_word(failure));
@@ -335,7 +335,7 @@
                     target: plan.target.clone(),
                 });
             }
-            calls::CallEffect::Pass(call) => {
+            calls::CallEffect::ForwardAnswer(call) => {
                 if let Some(open) = self.calls.get(call) {
                     self.count_call(open, "answered");
                     let latency = self.metrics.call_seconds.with_label_values(&open.labels());
@@ -354,8 +354,11 @@
             calls::CallEffect::Refuse(call, refusal) => {
                 // One that was offered to no target has no name yet.
                 if let Some(record) = state.calls.ingress.get(call) {
-                    let terms = &record.terms;
-                    self.name_call(*call, [&terms.service, &terms.class, &terms.route]);
+                    let attributes = &record.attributes;
+                    self.name_call(
+                        *call,
+                        [&attributes.service, &attributes.class, &attributes.route],
+                    );
                 }
                 self.refused(*call, refusal);
             }
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -201,11 +201,11 @@
             }
             dialect::AnswerVerdict::Misplaced => {
                 let misplaced = not_run(code::ResultCode::TargetMisplaced);
-                return self.end(calls::RunResult::Misplaced, misplaced);
+                return self.end(calls::RunResult::WrongTarget, misplaced);
             }
             dialect::AnswerVerdict::Unsound => {
                 let unsound = wire::CallRefusal::unknown(code::ResultCode::AnswerUnsound);
-                return self.end(calls::RunResult::Unsound, unsound);
+                return self.end(calls::RunResult::Malformed, unsound);
             }
         }
         let bound = context.requests.answer_hold_bytes;
@@ -214,7 +214,7 @@
             Err(hold::HoldError::Broken { message }) => {
                 log::debug!("target {}: answer broke off: {message}", self.plan.target);
                 let cut = wire::CallRefusal::unknown(code::ResultCode::TargetFailed);
-                return self.end(calls::RunResult::Cut, cut);
+                return self.end(calls::RunResult::Truncated, cut);
             }
             Err(hold::HoldError::Late) => {
                 let late = wire::CallRefusal::unknown(code::ResultCode::DeadlineExceeded);
@@ -407,9 +407,9 @@
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         match &polled {
             Poll::Ready(None) => self.finish(),
-            Poll::Ready(Some(Err(_))) => self.guard.result = calls::RunResult::Cut,
+            Poll::Ready(Some(Err(_))) => self.guard.result = calls::RunResult::Truncated,
             Poll::Pending if self.due.as_mut().poll(cx).is_ready() => {
-                self.guard.result = calls::RunResult::Cut;
+                self.guard.result = calls::RunResult::Truncated;
                 return Poll::Ready(Some(Err(AnswerLate.into())));
             }
             _ => {}
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -19,7 +19,7 @@
 pub mod transit;
 pub mod usual;
 
-pub use owner::{end_life, evict};
+pub use owner::{end_incarnation, evict};
 
 /// A request that a caller sent to this node.
 #[derive(Debug, Clone, PartialEq)]
@@ -82,15 +82,15 @@
     /// The target said that it did not run the request.
     Declined,
     /// Another target answers at the address; the request did not run.
-    Misplaced,
+    WrongTarget,
     /// What came is no whole answer to this request.
-    Unsound,
+    Malformed,
     /// The target closed the connection before the first byte of an answer.
     Crashed,
     /// The first byte of an answer did not come in time.
     TimedOut,
     /// The target broke off its answer.
-    Cut,
+    Truncated,
     /// The caller went away.
     CallerGone,
 }
@@ -161,7 +161,7 @@
     /// Ingress: make a try.
     Attempt(ids::CallId, AttemptPlan),
     /// Ingress: pass the answer on that has begun.
-    Pass(ids::CallId),
+    ForwardAnswer(ids::CallId),
     /// Ingress: give the answer of an earlier send.
     Replay(ids::CallId, wire_ledger::KeptAnswer),
     /// Ingress or owner: refuse.
@@ -174,7 +174,7 @@
 #[derive(Debug, Clone)]
 pub struct IngressCall {
     /// What its request and route say of it.
-    pub terms: terms::CallTerms,
+    pub attributes: terms::CallTerms,
     /// Target of the latest try, once there was one.
     pub target: Option<ids::TargetName>,
     /// When it must be over.
@@ -234,7 +234,11 @@
 }
 
 /// Takes an event of a call.
-pub fn take(state: &mut reducer::EngineState, event: CallEvent, output: &mut event::ReducerOutput) {
+pub fn handle(
+    state: &mut reducer::EngineState,
+    event: CallEvent,
+    output: &mut event::ReducerOutput,
+) {
     match event {
         CallEvent::Arrived(arrival) => ingress::arrive(state, arrival, output),
         CallEvent::AttemptEnded {
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -35,7 +35,7 @@
             return output.refuse(arrival.call, refusal);
         }
     };
-    let is_claimed = record.terms.is_claimed();
+    let is_claimed = record.attributes.is_claimed();
     let claimed = arrival.fingerprint.filter(|_| is_claimed);
     state.calls.ingress.insert(arrival.call, record);
     match claimed {
@@ -70,7 +70,7 @@
     let times = terms::CallTimes::new(route, told, spent, state.now);
     let cohort = rollout::draw_cohort(state, &service);
     Ok(calls::IngressCall {
-        terms: terms::CallTerms::new(&catalogue, route, service, arrival),
+        attributes: terms::CallTerms::new(&catalogue, route, service, arrival),
         target: None,
         deadline: times.deadline,
         latency_until: times.latency_until,
@@ -106,7 +106,7 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return false;
     };
-    let (service, route) = (&record.terms.service, &record.terms.route);
+    let (service, route) = (&record.attributes.service, &record.attributes.route);
     let throttles = &mut state.calls.throttles;
     let share = throttles.refused_share(service, route, state.now);
     let is_overdue = record.latency_until <= state.now;
@@ -127,7 +127,7 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return;
     };
-    let (service, route) = (&record.terms.service, &record.terms.route);
+    let (service, route) = (&record.attributes.service, &record.attributes.route);
     let mut refusal = state.calls.throttles.refusal(service, route);
     refusal.retry_after_ms = spread(state, refusal.retry_after_ms);
     output.refuse(call, refusal);
@@ -145,7 +145,7 @@
         .calls
         .ingress
         .get(&call)
-        .map(|record| &record.terms.service);
+        .map(|record| &record.attributes.service);
     let tried_in = service.and_then(|service| health::unreached_for(state, service));
     let room_in = tried_in.unwrap_or(TARGET_RETURN).as_millis() as u32;
     let retry_after_ms = spread(state, room_in.max(1));
@@ -166,8 +166,8 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return false;
     };
-    let (service, tried) = (record.terms.service.clone(), record.tried.clone());
-    let route = record.terms.route.clone();
+    let (service, tried) = (record.attributes.service.clone(), record.tried.clone());
+    let route = record.attributes.route.clone();
     let mut request = routing::ChoiceRequest {
         service: &service,
         spill: record.spill,
@@ -207,8 +207,8 @@
         latency_left: reachable(record.latency_until.since(now), candidate.shortest_run),
         patience: candidate.patience.filter(|_| has_places_left),
     };
-    let offer = record.terms.offer(candidate.target.clone(), times);
-    let is_claimed = record.terms.is_claimed();
+    let offer = record.attributes.offer(candidate.target.clone(), times);
+    let is_claimed = record.attributes.is_claimed();
     let plan = calls::AttemptPlan {
         candidate,
         offer,
@@ -240,7 +240,7 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return;
     };
-    let (terms, target) = (record.terms.clone(), record.target.clone());
+    let (terms, target) = (record.attributes.clone(), record.target.clone());
     let is_own = target
         .as_ref()
         .is_some_and(|target| state.membership.targets.contains_key(target));
@@ -302,15 +302,17 @@
     let view = target.and_then(|target| state.routing.views.get(target));
     let question = retry::RetryQuestion {
         proof,
-        is_idempotent: record.terms.is_idempotent,
+        is_idempotent: record.attributes.is_idempotent,
         tries: (record.tried.len() as u32).saturating_sub(record.placements),
         most_tries: record.most_tries,
         is_placement: u64::from(record.placements) < proof.placements(tunables),
         arrived_attempt: record.arrived_attempt,
         left: record.deadline.since(now),
-        service_time: view.map_or(Duration::ZERO, |view| view.run_time(&record.terms.route)),
+        service_time: view.map_or(Duration::ZERO, |view| {
+            view.run_time(&record.attributes.route)
+        }),
     };
-    let terms = record.terms.clone();
+    let terms = record.attributes.clone();
     if !question.is_allowed() {
         return false;
     }
@@ -410,7 +412,7 @@
 }
 
 fn pass(call: ids::CallId, output: &mut event::ReducerOutput) {
-    let effect = calls::CallEffect::Pass(call);
+    let effect = calls::CallEffect::ForwardAnswer(call);
     output.effects.push(event::Effect::Calls(effect));
 }
 
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -72,7 +72,7 @@
 
 /// Forgets what belongs to a life of a target that is over: what waits is given back, and what runs
 /// holds no slot of the next life.
-pub fn end_life(
+pub fn end_incarnation(
     state: &mut reducer::EngineState,
     target: &ids::TargetName,
     output: &mut event::ReducerOutput,
@@ -156,7 +156,7 @@
     }
     let is_late = record.deadline <= state.now;
     health::end_run(state, &offer.target, result, is_late);
-    if result == calls::RunResult::Misplaced {
+    if result == calls::RunResult::WrongTarget {
         let gone = membership::MembershipEvent::Misplaced(offer.target.clone());
         output.follow(event::Event::Membership(gone));
     }
--- a/crates/engine/src/health.rs
+++ b/crates/engine/src/health.rs
@@ -91,11 +91,11 @@
         calls::RunResult::Done { status: 503 } | calls::RunResult::Declined => return,
         calls::RunResult::Done { status } => status < 500,
         calls::RunResult::NotConnected
-        | calls::RunResult::Misplaced
-        | calls::RunResult::Unsound
+        | calls::RunResult::WrongTarget
+        | calls::RunResult::Malformed
         | calls::RunResult::Crashed
         | calls::RunResult::TimedOut
-        | calls::RunResult::Cut => false,
+        | calls::RunResult::Truncated => false,
         calls::RunResult::CallerGone if is_late => false,
         calls::RunResult::CallerGone => return,
     };
--- a/crates/engine/src/membership/own.rs
+++ b/crates/engine/src/membership/own.rs
@@ -81,7 +81,7 @@
             target: name.clone(),
             incarnation: record.incarnation,
         });
-        calls::end_life(state, &name, output);
+        calls::end_incarnation(state, &name, output);
     }
     if is_news {
         output.note(timeline::TimelineEvent::TargetAnnounced {
--- a/crates/engine/tests/announcements.rs
+++ b/crates/engine/tests/announcements.rs
@@ -134,7 +134,7 @@
     let mut node = started();
     announce(&mut node, "one", 5, READY);
     offer(&mut node, 1);
-    let result = calls::RunResult::Misplaced;
+    let result = calls::RunResult::WrongTarget;
     let call = ids::CallId(1);
     node.call(calls::CallEvent::RunEnded { call, result });
     assert_eq!(state_of(&node, "one"), None);
--- a/crates/engine/tests/health.rs
+++ b/crates/engine/tests/health.rs
@@ -65,7 +65,7 @@
     let done = |status| calls::RunResult::Done { status };
     let table = [
         ("every answer fails", short, done(500), true),
-        ("answers in part", short, calls::RunResult::Cut, true),
+        ("answers in part", short, calls::RunResult::Truncated, true),
         ("never answers", short, calls::RunResult::TimedOut, true),
         (
             "never answers, callers leave",
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -280,7 +280,7 @@
             result,
             report: calls::AttemptReport::default(),
         });
-        if let calls::CallEffect::Pass(_) = effect {
+        if let calls::CallEffect::ForwardAnswer(_) = effect {
             return 503;
         }
     }
