--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -63,7 +63,7 @@
     let mut offer = wire::CallOffer::join(terms, sent.attempt);
     let (sent, came) = (Duration::from_millis(sent.sent_ms), trace::boot_time());
     let mut meter = transit.lock().expect("no holder of the lock panics");
-    offer.spend(meter.note(sent, came));
+    offer.spend(meter.record(sent, came));
     offer
 }
 
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -234,7 +234,7 @@
 }
 
 /// Takes an event of a call.
-pub fn handle(
+pub fn handle_event(
     state: &mut reducer::EngineState,
     event: CallEvent,
     output: &mut event::ReducerOutput,
--- a/crates/engine/src/calls/transit.rs
+++ b/crates/engine/src/calls/transit.rs
@@ -42,7 +42,7 @@
 impl TransitMeter {
     /// Takes an offer by the sender's boot clock as it was sent and by the receiver's as it came;
     /// returns how much longer it was on its way than the fastest one.
-    pub fn note(&mut self, sent: Duration, came: Duration) -> Duration {
+    pub fn record(&mut self, sent: Duration, came: Duration) -> Duration {
         let difference = came.as_micros() as i64 - sent.as_micros() as i64;
         let least = [self.least, self.least_before].into_iter().flatten().min();
         let late = least.map_or(0, |least| (difference - least).max(0));
--- a/crates/engine/src/reducer.rs
+++ b/crates/engine/src/reducer.rs
@@ -126,7 +126,7 @@
         event::Event::Replication(event) => replication::take(state, event, output),
         event::Event::Dissemination(event) => dissemination::take(state, event, output),
         event::Event::Membership(event) => membership::take(state, event, output),
-        event::Event::Calls(event) => calls::handle(state, event, output),
+        event::Event::Calls(event) => calls::handle_event(state, event, output),
         event::Event::Ledger(event) => ledger::take(state, event, output),
         event::Event::Quarantine(event) => quarantine::take(state, event, output),
         event::Event::Health(event) => health::take(state, event),
--- a/crates/engine/tests/transit.rs
+++ b/crates/engine/tests/transit.rs
@@ -19,20 +19,20 @@
     let mut meter = transit::TransitMeter::default();
     // The receiver has run for ten minutes when the sender starts.
     let start = 600_000;
-    assert_eq!(meter.note(millis(5), millis(start + 7)), millis(0));
-    assert_eq!(meter.note(millis(100), millis(start + 602)), millis(500));
-    assert_eq!(meter.note(millis(200), millis(start + 201)), millis(0));
-    assert_eq!(meter.note(millis(300), millis(start + 351)), millis(50));
+    assert_eq!(meter.record(millis(5), millis(start + 7)), millis(0));
+    assert_eq!(meter.record(millis(100), millis(start + 602)), millis(500));
+    assert_eq!(meter.record(millis(200), millis(start + 201)), millis(0));
+    assert_eq!(meter.record(millis(300), millis(start + 351)), millis(50));
 }
 
 /// A sender whose clock stood still for three seconds seems late by them for a few seconds only.
 #[test]
 fn stopped_clock() {
     let mut meter = transit::TransitMeter::default();
-    meter.note(millis(0), millis(1000));
+    meter.record(millis(0), millis(1000));
     let mut late = Vec::new();
     for second in 1..10 {
-        late.push(meter.note(millis(second * 1000), millis(second * 1000 + 4000)));
+        late.push(meter.record(millis(second * 1000), millis(second * 1000 + 4000)));
     }
     assert_eq!(late[0], millis(3000));
     assert_eq!(late[6..], [millis(0); 3]);
@@ -77,8 +77,9 @@
 #[test]
 fn choked_for_long() {
     let mut meter = transit::TransitMeter::default();
-    meter.note(millis(0), millis(1000));
-    let late = (1..9).map(|second| meter.note(millis(second * 1000), millis(second * 1000 + 1800)));
+    meter.record(millis(0), millis(1000));
+    let late =
+        (1..9).map(|second| meter.record(millis(second * 1000), millis(second * 1000 + 1800)));
     let late: Vec<Duration> = late.collect();
     assert_eq!(late, [millis(800); 8]);
 }
@@ -92,7 +93,7 @@
     let note = |life: u64, sent, came| {
         let meter = meters.of_peer(&peer, ids::IncarnationNumber(life));
         let mut meter = meter.lock().expect("nobody panics");
-        meter.note(millis(sent), millis(came))
+        meter.record(millis(sent), millis(came))
     };
     assert_eq!(note(1, 0, 1000), millis(0));
     assert_eq!(note(1, 500, 2300), millis(800));
