--- a/crates/daemon/src/disk_writer.rs
+++ b/crates/daemon/src/disk_writer.rs
@@ -24,7 +24,7 @@
     }
 
     fn is_whole(&self) -> bool {
-        self.is_whole
+        self.is_full_rewrite
     }
 }
 
--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -140,7 +140,7 @@
             }
             EngineInput::ReadRevision { answer } => {
                 let number = self.number_proposal(answer);
-                let event = replication::ReplicationEvent::Read(number);
+                let event = replication::ReplicationEvent::ReadRevision(number);
                 self.reduce(event::Event::Replication(event));
             }
             EngineInput::ChangeGroup { change, answer } => {
--- a/crates/engine/src/reducer.rs
+++ b/crates/engine/src/reducer.rs
@@ -123,7 +123,7 @@
             membership::link_lost(state, address);
             dissemination::link_lost(state, address, output);
         }
-        event::Event::Replication(event) => replication::take(state, event, output),
+        event::Event::Replication(event) => replication::handle_event(state, event, output),
         event::Event::Dissemination(event) => dissemination::take(state, event, output),
         event::Event::Membership(event) => membership::take(state, event, output),
         event::Event::Calls(event) => calls::take(state, event, output),
--- a/crates/engine/src/replication.rs
+++ b/crates/engine/src/replication.rs
@@ -73,7 +73,7 @@
 
 /// A roll-out's next phase, as its leader decided it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RolloutMove {
+pub struct RolloutTransition {
     /// The entry in its next phase.
     pub entry: rollout::RolloutEntry,
     /// Time since the order.
@@ -86,9 +86,9 @@
     /// An operator wants a change.
     Propose(Box<ChangeProposal>),
     /// An operator wants the revision in place.
-    Read(ProposalNumber),
+    ReadRevision(ProposalNumber),
     /// The leader moves a roll-out on.
-    Steer(Box<RolloutMove>),
+    AdvanceRollout(Box<RolloutTransition>),
     /// The administrator wants other voters.
     ChangeGroup {
         /// Number of the proposal.
@@ -365,15 +365,15 @@
 }
 
 /// Takes an event of the log.
-pub fn take(
+pub fn handle_event(
     state: &mut reducer::EngineState,
     event: ReplicationEvent,
     output: &mut event::ReducerOutput,
 ) {
     run(state, output, |replication, context| match event {
         ReplicationEvent::Propose(proposal) => replication.propose(context, *proposal),
-        ReplicationEvent::Read(number) => replication.read(context, number),
-        ReplicationEvent::Steer(step) => replication.steer(context, *step),
+        ReplicationEvent::ReadRevision(number) => replication.read(context, number),
+        ReplicationEvent::AdvanceRollout(step) => replication.steer(context, *step),
         ReplicationEvent::ChangeGroup { number, change } => {
             replication.change_group(context, number, &change);
         }
--- a/crates/engine/src/replication/orders.rs
+++ b/crates/engine/src/replication/orders.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexSet;
 
 use super::{
-    ChangeProposal, ReplicaContext, ReplicaRole, ReplicationState, RolloutMove,
+    ChangeProposal, ReplicaContext, ReplicaRole, ReplicationState, RolloutTransition,
     acceptance::{self, AcceptedProposal, Judgement, ProposalRefusal},
     machine,
 };
@@ -177,7 +177,7 @@
 
 impl ReplicationState {
     /// Writes a roll-out's next phase, if it is still under way as the step took it to be.
-    pub(super) fn steer(&mut self, context: &mut ReplicaContext, step: RolloutMove) {
+    pub(super) fn steer(&mut self, context: &mut ReplicaContext, step: RolloutTransition) {
         let kept = context.tunables().changes_kept as usize;
         let term = self.hard.term;
         let ReplicaRole::Leader(leader) = &mut self.role else {
--- a/crates/engine/src/replication/persist.rs
+++ b/crates/engine/src/replication/persist.rs
@@ -17,7 +17,7 @@
     /// Number of the batch, growing by one.
     pub batch: u64,
     /// Whether it holds everything that the disk must keep and replaces what is there.
-    pub is_whole: bool,
+    pub is_full_rewrite: bool,
     /// State to keep beside the log.
     pub hard: Option<wire::HardState>,
     /// Position from which entries are dropped.
--- a/crates/engine/src/replication/store_failure.rs
+++ b/crates/engine/src/replication/store_failure.rs
@@ -45,7 +45,7 @@
         }
         self.hard.commit = self.commit;
         let batch = persist::PersistBatch {
-            is_whole: true,
+            is_full_rewrite: true,
             hard: Some(self.hard),
             entries: self.log.slice_all(self.commit.next()),
             snapshot: Some(Box::new(self.snapshot())),
--- a/crates/engine/src/replication/view.rs
+++ b/crates/engine/src/replication/view.rs
@@ -126,7 +126,7 @@
     }
 
     /// Whether this replica leads, and in which term.
-    pub fn led_term(&self) -> Option<ids::LeaderTerm> {
+    pub fn leading_term(&self) -> Option<ids::LeaderTerm> {
         matches!(self.role, ReplicaRole::Leader(_)).then_some(self.hard.term)
     }
 
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -91,7 +91,7 @@
     let Some(replication) = &state.replication else {
         return;
     };
-    if replication.led_term().is_none() {
+    if replication.leading_term().is_none() {
         if let Some(leader) = replication.live_leader(state)
             && !message.is_passed_on
         {
@@ -258,7 +258,7 @@
 
 /// At the leader: looks at the evidence of each roll-out under way and moves it on.
 fn judge(state: &mut reducer::EngineState, span: Duration, output: &mut event::ReducerOutput) {
-    let leads = |replication: &replication::ReplicationState| replication.led_term().is_some();
+    let leads = |replication: &replication::ReplicationState| replication.leading_term().is_some();
     if !state.replication.as_ref().is_some_and(leads) || !replication::is_proven_current(state) {
         // Another one judges; what was heard here does not count as its evidence.
         return state.rollout.evidence.clear();
@@ -281,11 +281,11 @@
         known.proposed = Some(now);
         let elapsed = now.since(known.seen);
         let next = entry.in_phase(step.phase, step.share_permille, step.reason);
-        let step = replication::RolloutMove {
+        let step = replication::RolloutTransition {
             entry: next.with_old_versions(seen_versions(state, &entry.name)),
             elapsed,
         };
-        let steer = replication::ReplicationEvent::Steer(Box::new(step));
+        let steer = replication::ReplicationEvent::AdvanceRollout(Box::new(step));
         output.follow(event::Event::Replication(steer));
     }
 }
--- a/crates/engine/tests/replication/disk.rs
+++ b/crates/engine/tests/replication/disk.rs
@@ -69,7 +69,7 @@
     fn writable(&mut self) -> Vec<replication::PersistBatch> {
         let mut batches = std::mem::take(&mut self.unsynced);
         if self.has_failed {
-            let whole = batches.iter().position(|batch| batch.is_whole);
+            let whole = batches.iter().position(|batch| batch.is_full_rewrite);
             batches.drain(..whole.unwrap_or(batches.len()));
         }
         batches
@@ -78,7 +78,7 @@
     fn write(&mut self, batch: replication::PersistBatch) {
         let kept = &mut self.kept;
         kept.hard = batch.hard.unwrap_or(kept.hard);
-        if batch.is_whole {
+        if batch.is_full_rewrite {
             kept.snapshot = batch.snapshot.map(|snapshot| *snapshot);
             kept.entries = batch.entries;
             return;
--- a/crates/engine/tests/replication/network.rs
+++ b/crates/engine/tests/replication/network.rs
@@ -156,8 +156,8 @@
     /// The control that leads in the latest term among those that are up.
     pub(crate) fn leader(&self) -> Option<usize> {
         let up = (0..self.controls.len()).filter(|index| self.controls[*index].is_up);
-        up.filter(|index| self.log(*index).led_term().is_some())
-            .max_by_key(|index| self.log(*index).led_term())
+        up.filter(|index| self.log(*index).leading_term().is_some())
+            .max_by_key(|index| self.log(*index).leading_term())
     }
 
     /// The catalogue that a control has committed.
@@ -225,7 +225,7 @@
     fn check(&mut self, index: usize) {
         let log = self.controls[index].state.replication.as_ref();
         let log = log.expect("every one is a control");
-        if let Some(term) = log.led_term() {
+        if let Some(term) = log.leading_term() {
             let leader = *self.leaders.entry(term).or_insert_with(|| log.replica());
             assert_eq!(leader, log.replica(), "two leaders in term {term}");
         }
@@ -360,7 +360,7 @@
     pub(crate) fn read(&mut self, index: usize) -> u64 {
         self.proposals += 1;
         let number = replication::ProposalNumber(self.proposals);
-        let event = replication::ReplicationEvent::Read(number);
+        let event = replication::ReplicationEvent::ReadRevision(number);
         self.reduce(index, event::Event::Replication(event));
         self.proposals
     }
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -115,7 +115,7 @@
     fn write_all(&mut self, batches: Vec<replication::PersistBatch>) -> StoreResult<()> {
         let mut bytes = Vec::new();
         for batch in batches {
-            if batch.is_whole {
+            if batch.is_full_rewrite {
                 bytes.clear();
                 self.replace(&batch)?;
                 continue;
@@ -176,7 +176,7 @@
 
 impl LogStore for FileStore {
     fn write(&mut self, batches: Vec<replication::PersistBatch>) -> StoreResult<()> {
-        let is_whole = batches.first().is_some_and(|batch| batch.is_whole);
+        let is_whole = batches.first().is_some_and(|batch| batch.is_full_rewrite);
         if self.has_failed && !is_whole {
             let path = self.folder.clone();
             return Err(error::StoreError::Stopped { path });
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -212,7 +212,7 @@
 /// A whole batch: what a control holds at a position, and the entries after it.
 fn whole(position: u64, term: u64, entries: Vec<wire::LogEntry>) -> replication::PersistBatch {
     replication::PersistBatch {
-        is_whole: true,
+        is_full_rewrite: true,
         hard: Some(hard(term)),
         snapshot: Some(snapshot(position, term)),
         entries,
--- a/tests/all/failing_disk.rs
+++ b/tests/all/failing_disk.rs
@@ -119,10 +119,10 @@
     let report = move |event| events.send(event).expect("the test listens");
     let store = Box::new(FailingStore { left: 0 });
     let thread = std::thread::spawn(move || store_task::run(store, &batches, report));
-    let persist = |batch, is_whole| {
+    let persist = |batch, is_full_rewrite| {
         handle.persist(replication::PersistBatch {
             batch,
-            is_whole,
+            is_full_rewrite,
             ..replication::PersistBatch::default()
         });
     };
