--- a/crates/engine/src/ledger/acceptor.rs
+++ b/crates/engine/src/ledger/acceptor.rs
@@ -157,13 +157,14 @@
     let (now, tunables) = (state.now, &state.settings.tunables.ledger);
     let longest = settings::millis(tunables.retention_ms);
     let replication = state.replication.as_ref();
-    let has_founded = replication.is_some_and(replication::ReplicationState::has_founded);
+    let is_founding_replica =
+        replication.is_some_and(replication::ReplicationState::is_founding_replica);
     let Some(acceptor) = &mut state.ledger.acceptor else {
         return;
     };
     acceptor.expire(now, longest);
     let has_expired = now.since(time::MonotonicTime::default()) >= longest;
-    let is_proven = acceptor.standing == wire::ClaimsStanding::Unproven && has_founded;
+    let is_proven = acceptor.standing == wire::ClaimsStanding::Unproven && is_founding_replica;
     if acceptor.standing != wire::ClaimsStanding::Whole && (has_expired || is_proven) {
         acceptor.standing = wire::ClaimsStanding::Whole;
         let record = wire::ClaimRecord::Standing(acceptor.standing);
--- a/crates/engine/src/replication.rs
+++ b/crates/engine/src/replication.rs
@@ -1,20 +1,21 @@
-//! The replicated log of the control group and the acceptance of changes.
+//! The replicated log of the control group, and the validation of proposed catalogue changes.
 //!
-//! One leader a term writes the log, a majority of voters keeps it, and what a majority has synced
-//! in the leader's own term is committed and never changes. Nothing is answered, and nothing
-//! reaches a node, before the disks of a majority have said that it is kept: an effect that rests
-//! on a write waits in `pending` until the store reports that write.
+//! The algorithm follows Raft: each term has at most one leader, which appends to the log. An entry
+//! is committed, and thereby immutable, once a majority of voters has synced it to disk and it (or
+//! an entry after it) was written in the current leader's own term. No change is acknowledged and no
+//! catalogue version is sent to the nodes before that: every effect that depends on a write is held
+//! back until the store reports the write as synced.
 
 mod acceptance;
+mod confirmation;
 mod election;
 mod follower;
 mod group;
 mod healing;
 mod leader;
-mod machine;
-mod orders;
 mod persist;
-mod proof;
+mod rollout_orders;
+mod state_machine;
 mod store_failure;
 mod view;
 mod window;
@@ -33,163 +34,166 @@
 pub use persist::{PersistBatch, RecoveredLog};
 pub use view::{GroupView, LEADER_ROLE, VoterView};
 
-/// Number of a proposal in this process; its answer carries it.
+/// Identifies a proposal within this process; the answer carries the same number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ProposalNumber(pub u64);
 
-/// Who asks for a change.
+/// Who requests a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeAuthor {
-    /// May change every entry.
+    /// The administrator, who may change every entry.
     Administrator,
-    /// Holds the token of this hash; the catalogue says what it may change.
+    /// The holder of the token with this hash. The catalogue lists the owners whose entries it may
+    /// change.
     Holder(ids::StateDigest),
 }
 
-/// A change on its way to the log.
+/// A request to change the catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangeProposal {
-    /// Its number.
+    /// Matches the answer to the proposal.
     pub number: ProposalNumber,
-    /// Who asks for it.
+    /// Who requests the change.
     pub author: ChangeAuthor,
     /// The operator's request.
     pub request: change::ChangeRequest,
-    /// Digest of the request's content.
+    /// Digest of the request's content, which tells a resend from a reuse of the change id.
     pub content: ids::StateDigest,
-    /// Wall time at which it came, in milliseconds since 1970.
+    /// Wall-clock time of arrival, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// A change of the voters.
+/// The promotion or removal of one voter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupChange {
-    /// Make a learner that has caught up a voter.
+    /// Promotes a learner that has caught up to voter.
     Add(ids::InstanceName),
-    /// Take a voter's vote.
+    /// Removes a voter.
     Remove(ids::InstanceName),
 }
 
-/// A roll-out's next phase, as its leader decided it.
+/// The next phase of a roll-out, as decided by the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutTransition {
-    /// The entry in its next phase.
+    /// The roll-out entry in its new phase.
     pub entry: rollout::RolloutEntry,
-    /// Time since the order.
+    /// Time since the roll-out was ordered.
     pub elapsed: std::time::Duration,
 }
 
-/// Events of the log.
+/// Input events of the replicated log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplicationEvent {
-    /// An operator wants a change.
+    /// An operator proposes a change of the catalogue.
     Propose(Box<ChangeProposal>),
-    /// An operator wants the revision in place.
+    /// An operator reads the current revision.
     ReadRevision(ProposalNumber),
-    /// The leader moves a roll-out on.
+    /// The leader moves a roll-out to its next phase.
     AdvanceRollout(Box<RolloutTransition>),
-    /// The administrator wants other voters.
+    /// The administrator adds or removes a voter.
     ChangeGroup {
-        /// Number of the proposal.
+        /// Matches the answer to the request.
         number: ProposalNumber,
-        /// Which change.
+        /// The voter to add or remove.
         change: GroupChange,
     },
-    /// The store has synced a batch and all before it.
+    /// The store has synced a batch and all earlier ones.
     Persisted {
-        /// Number of the batch.
+        /// Number of the last synced batch.
         batch: u64,
     },
-    /// The store failed and keeps nothing until it is given a whole batch.
+    /// A write or sync failed. The store accepts nothing until it is given a full rewrite.
     StoreFailed,
 }
 
-/// The answer to a proposal.
+/// The outcome of a proposal or a read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ProposalAnswer {
-    /// It is accepted and kept.
+    /// The change is committed.
     Accepted(change::ChangeReceipt),
-    /// The voters are changed.
+    /// The new set of voters is committed.
     GroupChanged(wire::ControlGroup),
-    /// The revision in place, proven to be so after the question came.
+    /// The current revision, confirmed by a majority after the read arrived.
     Current {
-        /// Version of the catalogue.
+        /// Catalogue version at the time of the read.
         version: ids::CatalogueVersion,
-        /// The revision.
+        /// The current revision.
         revision: change::CatalogueRevision,
     },
-    /// It was not accepted and never will be.
+    /// The proposal was rejected and will not be applied later.
     Refused {
-        /// Why.
+        /// Reason of the rejection.
         code: code::ResultCode,
-        /// The current version.
+        /// Current catalogue version.
         version: ids::CatalogueVersion,
-        /// Its faults, where it has some.
+        /// The faults found by validation; empty when the reason is not the content.
         faults: Vec<change::CatalogueFault>,
     },
-    /// It was not taken here; the leader at this peers address takes it.
+    /// This replica does not lead. Carries the peers address of the leader.
     Elsewhere(SocketAddr),
-    /// It may or may not be accepted later.
+    /// The outcome is not known: the change may still be committed later.
     Unknown,
 }
 
-/// Effects of the log.
+/// Output effects of the replicated log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplicationEffect {
-    /// Write and sync, then report [`ReplicationEvent::Persisted`].
+    /// Writes and syncs a batch, then reports [`ReplicationEvent::Persisted`].
     Persist(Box<PersistBatch>),
-    /// Answer a proposal.
+    /// Answers a proposal or a read.
     Answer {
-        /// Which.
+        /// Number of the proposal.
         number: ProposalNumber,
-        /// How.
+        /// Its outcome.
         answer: ProposalAnswer,
     },
-    /// Something that the operator must learn from the log.
+    /// Reports a condition of the control group to the operator.
     Report {
-        /// Its code.
+        /// Result code that the operator can look up.
         code: code::ResultCode,
-        /// What happened.
+        /// Text of the log line.
         message: String,
     },
 }
 
-/// What a replica is at the moment.
+/// Raft role of a replica.
 #[derive(Debug, Clone)]
 enum ReplicaRole {
-    /// Takes entries from a leader, if there is one.
+    /// Accepts entries from the leader, if one is known.
     Follower,
-    /// Asks whether it would be voted for; holds who said yes.
+    /// Collects pre-votes; holds the replicas that granted one.
     PreCandidate(IndexSet<ids::ReplicaId>),
-    /// Stands for election; holds who voted for it.
+    /// Collects votes; holds the replicas that granted one.
     Candidate(IndexSet<ids::ReplicaId>),
-    /// Writes the log.
+    /// Appends to the log and replicates it.
     Leader(Box<leader::LeaderState>),
 }
 
-/// State of the log.
+/// State of one replica of the log.
 #[derive(Debug, Clone)]
 pub struct ReplicationState {
-    hard: wire::HardState,
+    hard_state: wire::HardState,
     log: window::LogWindow,
-    machine: machine::LogMachine,
+    state_machine: state_machine::StateMachine,
     commit: ids::LogPosition,
     role: ReplicaRole,
     leader: Option<SocketAddr>,
-    leader_heard: Option<time::MonotonicTime>,
-    proven: Option<time::MonotonicTime>,
+    leader_heard_at: Option<time::MonotonicTime>,
+    /// Latest time at which a majority is known to have confirmed that this replica was up to date.
+    proven_at: Option<time::MonotonicTime>,
     election_at: Option<time::MonotonicTime>,
-    writes: persist::WriteQueue,
-    introductions: IndexMap<SocketAddr, group::KnownReplica>,
-    introduced: Option<time::MonotonicTime>,
-    /// Present while the store keeps nothing; the replica then says and answers nothing.
-    failure: Option<failed_store::FailedStore>,
-    /// Orders of roll-outs that were in the log when the process started.
+    write_queue: persist::WriteQueue,
+    introductions: IndexMap<SocketAddr, group::IntroducedReplica>,
+    introduced_at: Option<time::MonotonicTime>,
+    /// Set from a failed write until the full rewrite is synced. Meanwhile the replica sends no
+    /// message and rejects every request.
+    store_failure: Option<failed_store::FailedStore>,
+    /// Roll-out orders that were in the log when the process started.
     recovered_orders: IndexSet<ids::CatalogueVersion>,
 }
 
-/// What a step of the log works with beside its own state.
+/// Inputs of a step, beside the replica's own state.
 struct ReplicaContext<'a> {
     now: time::MonotonicTime,
     settings: &'a settings::EngineSettings,
@@ -203,13 +207,13 @@
         &self.settings.tunables.replication
     }
 
-    fn election_time(&self) -> std::time::Duration {
+    fn election_timeout(&self) -> std::time::Duration {
         settings::millis(self.tunables().election_ms)
     }
 
-    /// Whether something that happened then is younger than an election timeout.
-    fn is_fresh(&self, then: time::MonotonicTime) -> bool {
-        then <= self.now && self.now.since(then) < self.election_time()
+    /// Whether a time lies less than one election timeout in the past.
+    fn is_recent(&self, then: time::MonotonicTime) -> bool {
+        then <= self.now && self.now.since(then) < self.election_timeout()
     }
 
     fn answer(&mut self, number: ProposalNumber, answer: ProposalAnswer) {
@@ -224,11 +228,11 @@
 }
 
 impl ReplicationState {
-    /// The state of a replica whose store holds this. Entries after the last position that is
-    /// known to be committed wait for a leader's word.
+    /// Restores a replica from its store. Entries beyond the last position known to be committed
+    /// stay uncommitted until a leader commits them.
     pub fn recover(recovered: RecoveredLog, tunables: &settings::ReplicationTunables) -> Self {
         let snapshot = recovered.snapshot.unwrap_or_default();
-        let mut recovered_orders = orders::orders_in(&recovered.entries);
+        let mut recovered_orders = rollout_orders::rollout_orders_in(&recovered.entries);
         recovered_orders.extend(snapshot.catalogue.rollouts().map(|rollout| rollout.order));
         let mut log = window::LogWindow::after(snapshot.mark, snapshot.group.clone());
         for entry in recovered.entries {
@@ -236,57 +240,57 @@
         }
         let last = log.last().position;
         let mut state = Self {
-            hard: recovered.hard,
+            hard_state: recovered.hard,
             log,
-            machine: machine::LogMachine::restore(&snapshot),
+            state_machine: state_machine::StateMachine::restore(&snapshot),
             commit: snapshot.mark.position,
             role: ReplicaRole::Follower,
             leader: None,
-            leader_heard: None,
-            proven: None,
+            leader_heard_at: None,
+            proven_at: None,
             election_at: None,
-            writes: persist::WriteQueue::after(last, snapshot.mark.position),
+            write_queue: persist::WriteQueue::after(last, snapshot.mark.position),
             introductions: IndexMap::new(),
-            introduced: None,
-            failure: None,
+            introduced_at: None,
+            store_failure: None,
             recovered_orders,
         };
-        let known = recovered.hard.commit.min(last);
-        while state.commit < known {
+        let known_commit = recovered.hard.commit.min(last);
+        while state.commit < known_commit {
             state.apply_next(tunables.changes_kept as usize);
         }
         let trailing = tunables.trailing_entries;
         state
             .log
-            .compact(ids::LogPosition(known.0.saturating_sub(trailing)));
+            .compact(ids::LogPosition(known_commit.0.saturating_sub(trailing)));
         state
     }
 
-    /// Whether an order of a roll-out was in the log when the process started, so that nothing here
-    /// knows how long ago it came.
+    /// Whether a roll-out order was in the log when the process started. Its age is then unknown,
+    /// since monotonic time does not survive a restart.
     pub fn is_recovered(&self, order: ids::CatalogueVersion) -> bool {
         self.recovered_orders.contains(&order)
     }
 
-    /// The catalogue that the committed changes make.
+    /// The catalogue as of the last committed change.
     pub fn committed(&self) -> &catalogue_state::CatalogueState {
-        &self.machine.catalogue
+        &self.state_machine.catalogue
     }
 
-    /// Applies the entry after the last committed one; returns it.
-    fn apply_next(&mut self, kept: usize) -> wire::LogEntry {
+    /// Applies the first uncommitted entry and returns it.
+    fn apply_next(&mut self, max_accepted: usize) -> wire::LogEntry {
         let position = self.commit.next();
         let entry = self.log.get(position).cloned();
-        let entry = entry.expect("what is committed is in the log until it is applied");
+        let entry = entry.expect("committed entries stay in the log until they are applied");
         if let wire::LogPayload::Change(change) = &entry.payload {
-            self.machine.apply(entry.term, change, kept);
+            self.state_machine.apply(entry.term, change, max_accepted);
         }
         self.commit = position;
         entry
     }
 
     fn is_voter(&self) -> bool {
-        self.log.group().has(self.hard.replica)
+        self.log.group().has(self.hard_state.replica)
     }
 
     fn message(
@@ -294,7 +298,7 @@
         to: Option<ids::ReplicaId>,
         body: wire::ReplicationBody,
     ) -> message::PeerMessage {
-        self.message_in(self.hard.term, to, body)
+        self.message_in(self.hard_state.term, to, body)
     }
 
     fn message_in(
@@ -305,34 +309,34 @@
     ) -> message::PeerMessage {
         message::PeerMessage::Replication(wire::ReplicationMessage {
             group: self.log.group().id,
-            from: self.hard.replica,
+            from: self.hard_state.replica,
             to,
             term,
             body,
         })
     }
 
-    /// Follows a term, a later one or the present one, and gives up what it was.
-    fn follow(&mut self, context: &mut ReplicaContext, term: ids::LeaderTerm) {
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.vote = None;
-            self.writes.keep_hard();
+    /// Becomes a follower in the given term, which is the current one or a later one.
+    fn become_follower(&mut self, context: &mut ReplicaContext, term: ids::LeaderTerm) {
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote = None;
+            self.write_queue.queue_hard_state();
             self.leader = None;
-            self.leader_heard = None;
-            self.proven = None;
+            self.leader_heard_at = None;
+            self.proven_at = None;
         }
         let role = std::mem::replace(&mut self.role, ReplicaRole::Follower);
         if let ReplicaRole::Leader(leader) = role {
             self.leader = None;
-            leader.abandon(self.machine.catalogue.version, context);
-            self.reset_election(context);
+            leader.fail_pending(self.state_machine.catalogue.version, context);
+            self.schedule_election(context);
         }
     }
 }
 
-/// Whether this process is a control that has just heard a majority of its group, and holds all
-/// that was committed then.
+/// Whether this process is a control that has heard from a majority of its group within an election
+/// timeout, and holds all that was committed at that time.
 pub fn is_proven_current(state: &reducer::EngineState) -> bool {
     let Some(replication) = &state.replication else {
         return false;
@@ -341,10 +345,10 @@
     replication.is_proven(state.now, period)
 }
 
-/// Takes the passing of time.
+/// Runs everything that depends on time: store retry, group membership, heartbeats and elections.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
-    run(state, output, |replication, context| {
-        replication.tick_store(context);
+    run_step(state, output, |replication, context| {
+        replication.tick_store_recovery(context);
         replication.tick_group(context);
         replication.tick_leader(context);
         replication.tick_healing(context);
@@ -352,38 +356,38 @@
     });
 }
 
-/// Takes a message of another control.
+/// Handles a message from another control.
 pub fn receive(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     message: wire::ReplicationMessage,
     output: &mut event::ReducerOutput,
 ) {
-    run(state, output, |replication, context| {
-        replication.hear(context, from, message);
+    run_step(state, output, |replication, context| {
+        replication.handle_message(context, from, message);
     });
 }
 
-/// Takes an event of the log.
+/// Handles an event of the replicated log.
 pub fn handle_event(
     state: &mut reducer::EngineState,
     event: ReplicationEvent,
     output: &mut event::ReducerOutput,
 ) {
-    run(state, output, |replication, context| match event {
+    run_step(state, output, |replication, context| match event {
         ReplicationEvent::Propose(proposal) => replication.propose(context, *proposal),
-        ReplicationEvent::ReadRevision(number) => replication.read(context, number),
-        ReplicationEvent::AdvanceRollout(step) => replication.steer(context, *step),
+        ReplicationEvent::ReadRevision(number) => replication.read_revision(context, number),
+        ReplicationEvent::AdvanceRollout(step) => replication.advance_rollout(context, *step),
         ReplicationEvent::ChangeGroup { number, change } => {
             replication.change_group(context, number, &change);
         }
-        ReplicationEvent::Persisted { batch } => replication.persisted(context, batch),
-        ReplicationEvent::StoreFailed => replication.fail(context),
+        ReplicationEvent::Persisted { batch } => replication.handle_persisted(context, batch),
+        ReplicationEvent::StoreFailed => replication.handle_store_failure(context),
     });
 }
 
-/// Runs a step and then hands the store what the step has to keep.
-fn run(
+/// Runs a step, then hands the writes that it queued to the store.
+fn run_step(
     state: &mut reducer::EngineState,
     output: &mut event::ReducerOutput,
     step: impl FnOnce(&mut ReplicationState, &mut ReplicaContext),
@@ -403,58 +407,58 @@
 }
 
 impl ReplicationState {
-    fn hear(
+    fn handle_message(
         &mut self,
         context: &mut ReplicaContext,
         from: &wire_membership::PeerIdentity,
         message: wire::ReplicationMessage,
     ) {
-        let own = self.hard.replica;
+        let own = self.hard_state.replica;
         let is_for_other = message.to.is_some_and(|to| to != own);
         if self.has_failed() || is_for_other || message.from == own {
             return;
         }
         let group = self.log.group().id;
-        let none = ids::GroupId::default();
-        if message.group != group && message.group != none && group != none {
+        let no_group = ids::GroupId::default();
+        if message.group != group && message.group != no_group && group != no_group {
             return;
         }
         let replica = message.from;
         let term = message.term;
         match message.body {
             wire::ReplicationBody::Introduce(introduction) => {
-                return self.introduced(context, from, replica, introduction);
+                return self.handle_introduction(context, from, replica, introduction);
             }
             wire::ReplicationBody::PreVote(last) => {
-                return self.pre_vote(context, from.address, replica, term, last);
+                return self.handle_pre_vote(context, from.address, replica, term, last);
             }
             wire::ReplicationBody::PreVoted { is_granted: true } => {
-                return self.pre_voted(context, replica, term);
+                return self.record_pre_vote(context, replica, term);
             }
             _ => {}
         }
-        if term > self.hard.term {
-            self.follow(context, term);
+        if term > self.hard_state.term {
+            self.become_follower(context, term);
         }
-        let is_current = term == self.hard.term;
+        let is_current = term == self.hard_state.term;
         match message.body {
             wire::ReplicationBody::Vote(last) => {
-                self.vote(context, from.address, replica, term, last);
+                self.handle_vote_request(context, from.address, replica, term, last);
             }
             wire::ReplicationBody::Voted { is_granted } => {
                 if is_current && is_granted {
-                    self.voted(context, replica);
+                    self.record_vote(context, replica);
                 }
             }
             wire::ReplicationBody::Append(request) => {
-                self.append(context, from.address, replica, is_current, request);
+                self.handle_append(context, from.address, replica, is_current, request);
             }
             wire::ReplicationBody::Install { snapshot, sent } => {
-                self.install(context, from.address, replica, is_current, *snapshot, sent);
+                self.handle_snapshot(context, from.address, replica, is_current, *snapshot, sent);
             }
             wire::ReplicationBody::Appended(answer) => {
                 if is_current {
-                    self.appended(context, replica, answer);
+                    self.handle_append_answer(context, replica, answer);
                 }
             }
             wire::ReplicationBody::Introduce(_)
--- a/crates/engine/src/replication/acceptance.rs
+++ b/crates/engine/src/replication/acceptance.rs
@@ -1,8 +1,8 @@
-//! Which changes are accepted.
+//! Validation of proposals.
 //!
-//! A leader judges a proposal by the state that its whole log leads to, committed or not, so that
-//! proposals follow each other without waiting for the disk. The answer waits until every entry
-//! that it rests on is committed.
+//! A leader validates a proposal against the state at the end of its log, committed or not, so that
+//! successive proposals need not wait for the disk. The answer is held back until every entry that
+//! the decision depends on is committed.
 
 use hazeltiller_catalogue::{change, check, entry, state as catalogue_state};
 use hazeltiller_units::{code, ids};
@@ -10,10 +10,10 @@
 
 use super::{
     ChangeAuthor, ChangeProposal, ProposalAnswer, ReplicaContext, ReplicaRole, ReplicationState,
-    orders, proof::ProvenAnswer,
+    confirmation::ConfirmedAnswer, rollout_orders,
 };
 
-/// Why a proposal is refused.
+/// Reason for rejecting a proposal.
 #[derive(Debug)]
 pub(super) struct ProposalRefusal {
     pub(super) code: code::ResultCode,
@@ -28,12 +28,12 @@
 }
 
 impl ReplicationState {
-    /// Why no proposal can be taken here now, if none can.
-    pub(super) fn unready(&self, context: &ReplicaContext) -> Option<ProposalAnswer> {
+    /// Returns the rejection or redirect if this replica cannot take proposals at present.
+    pub(super) fn unavailable_answer(&self, context: &ReplicaContext) -> Option<ProposalAnswer> {
         let refused = |code| {
             Some(ProposalAnswer::Refused {
                 code,
-                version: self.machine.catalogue.version,
+                version: self.state_machine.catalogue.version,
                 faults: Vec::new(),
             })
         };
@@ -41,7 +41,7 @@
             return refused(code::ResultCode::StoreFailed);
         }
         if matches!(self.role, ReplicaRole::Leader(_)) {
-            let has_quorum = self.has_quorum(context.now, context.election_time());
+            let has_quorum = self.has_quorum(context.now, context.election_timeout());
             return if has_quorum {
                 None
             } else {
@@ -49,50 +49,61 @@
             };
         }
         let is_alive = self
-            .leader_heard
-            .is_some_and(|heard| context.is_fresh(heard));
+            .leader_heard_at
+            .is_some_and(|heard_at| context.is_recent(heard_at));
         match self.leader {
             Some(leader) if is_alive => Some(ProposalAnswer::Elsewhere(leader)),
             _ => refused(code::ResultCode::LeaderUnknown),
         }
     }
 
-    /// Takes a proposal: refuses it, or writes it to the log.
+    /// Handles a proposal: rejects it or appends it to the log.
     pub(super) fn propose(&mut self, context: &mut ReplicaContext, proposal: ChangeProposal) {
-        if let Some(answer) = self.unready(context) {
-            let answer = self.settled(&proposal).unwrap_or(answer);
+        if let Some(answer) = self.unavailable_answer(context) {
+            let answer = self.known_outcome(&proposal).unwrap_or(answer);
             return context.answer(proposal.number, answer);
         }
         let number = proposal.number;
-        let last = self.log.last().position;
-        match self.judge(context, &proposal) {
-            Ok(Judgement::Known(receipt)) => {
+        let log_end = self.log.last().position;
+        match self.validate(context, &proposal) {
+            Ok(ValidProposal::Resend(receipt)) => {
                 let answer = ProposalAnswer::Accepted(receipt);
-                self.answer_at(context, last, number, answer);
+                self.answer_when_committed(context, log_end, number, answer);
             }
-            Ok(Judgement::New(accepted)) => self.accept(context, proposal, accepted),
+            Ok(ValidProposal::New(accepted)) => self.accept(context, proposal, accepted),
             Err((refusal, version)) => {
                 let answer = ProposalAnswer::Refused {
                     code: refusal.code,
                     version,
                     faults: refusal.faults,
                 };
-                if self.machine.accepted(&proposal.request.change_id).is_some() {
-                    // What is committed under the id stays so, whoever leads.
-                    return self.answer_at(context, last, number, answer);
+                if self
+                    .state_machine
+                    .accepted(&proposal.request.change_id)
+                    .is_some()
+                {
+                    // The change id is already committed, so no later leader could decide
+                    // otherwise.
+                    return self.answer_when_committed(context, log_end, number, answer);
                 }
-                self.answer_proven(context, last, number, ProvenAnswer::Judged(answer));
+                self.answer_confirmed(context, log_end, number, ConfirmedAnswer::Rejection(answer));
             }
         }
     }
 
-    /// What is known here of a change that cannot be taken here, if it was sent before: what is
-    /// committed stays so without any leader, and what is in the log may yet be committed.
-    fn settled(&self, proposal: &ChangeProposal) -> Option<ProposalAnswer> {
+    /// Returns the known outcome of a resent change that this replica cannot take. A committed
+    /// change keeps its receipt even without a leader; an entry in the uncommitted tail may still
+    /// be committed.
+    fn known_outcome(&self, proposal: &ChangeProposal) -> Option<ProposalAnswer> {
         let request = &proposal.request;
-        let catalogue = &self.machine.catalogue;
-        authorize(catalogue, proposal.author, &wanted_set(catalogue, request)).ok()?;
-        if let Some(accepted) = self.machine.accepted(&request.change_id) {
+        let catalogue = &self.state_machine.catalogue;
+        authorize(
+            catalogue,
+            proposal.author,
+            &requested_set(catalogue, request),
+        )
+        .ok()?;
+        if let Some(accepted) = self.state_machine.accepted(&request.change_id) {
             let is_same = accepted.content == proposal.content;
             return is_same.then(|| ProposalAnswer::Accepted(accepted.receipt.clone()));
         }
@@ -100,13 +111,13 @@
             wire::LogPayload::Change(change) => change.change_id == request.change_id,
             _ => false,
         };
-        let tail = self.log.slice(self.commit.next(), usize::MAX);
+        let tail = self.log.slice_for_message(self.commit.next(), usize::MAX);
         let is_leaderless = self.has_failed() || self.leader.is_none();
         (is_leaderless && tail.iter().any(has_id)).then_some(ProposalAnswer::Unknown)
     }
 
-    /// Answers once a position is committed, which may be now.
-    pub(super) fn answer_at(
+    /// Answers once a position is committed, which may be at once.
+    pub(super) fn answer_when_committed(
         &mut self,
         context: &mut ReplicaContext,
         position: ids::LogPosition,
@@ -117,39 +128,39 @@
             return context.answer(number, answer);
         }
         if let ReplicaRole::Leader(leader) = &mut self.role {
-            leader.wait(position, number, answer);
+            leader.hold_answer(position, number, answer);
         }
     }
 
-    fn judge(
+    fn validate(
         &self,
         context: &ReplicaContext,
         proposal: &ChangeProposal,
-    ) -> Result<Judgement, (ProposalRefusal, ids::CatalogueVersion)> {
+    ) -> Result<ValidProposal, (ProposalRefusal, ids::CatalogueVersion)> {
         let ReplicaRole::Leader(leader) = &self.role else {
             let refusal = code::ResultCode::LeaderUnknown.into();
-            return Err((refusal, self.machine.catalogue.version));
+            return Err((refusal, self.state_machine.catalogue.version));
         };
         let catalogue = &leader.head.catalogue;
         let with_version = |refusal| (refusal, catalogue.version);
         let request = &proposal.request;
         if let Some(rollout) = &request.rollout {
-            let judged = orders::judge(context, &leader.head, proposal, rollout);
-            return judged.map_err(with_version);
+            let validated = rollout_orders::validate(context, &leader.head, proposal, rollout);
+            return validated.map_err(with_version);
         }
-        let set = wanted_set(catalogue, request);
+        let set = requested_set(catalogue, request);
         let operator = authorize(catalogue, proposal.author, &set).map_err(with_version)?;
         if let Some(accepted) = leader.head.accepted(&request.change_id) {
             return if accepted.content == proposal.content {
-                Ok(Judgement::Known(accepted.receipt.clone()))
+                Ok(ValidProposal::Resend(accepted.receipt.clone()))
             } else {
                 Err(with_version(code::ResultCode::ChangeIdReused.into()))
             };
         }
-        orders::check_untouched(catalogue, &set).map_err(with_version)?;
+        rollout_orders::check_rollouts_unchanged(catalogue, &set).map_err(with_version)?;
         let faults = match &request.replace {
             Some(mark) => {
-                check_label(&leader.head.revision, mark)
+                check_revision_label(&leader.head.revision, mark)
                     .map_err(|code| with_version(code.into()))?;
                 check::check_replacement(&request.put)
             }
@@ -159,7 +170,7 @@
             None => catalogue.check(&set),
         };
         match faults.first() {
-            None => Ok(Judgement::New(AcceptedProposal {
+            None => Ok(ValidProposal::New(AcceptedProposal {
                 change_id: request.change_id.clone(),
                 operator,
                 set,
@@ -177,8 +188,8 @@
         proposal: ChangeProposal,
         accepted: AcceptedProposal,
     ) {
-        let kept = context.tunables().changes_kept as usize;
-        let term = self.hard.term;
+        let max_accepted = context.tunables().changes_kept as usize;
+        let term = self.hard_state.term;
         let ReplicaRole::Leader(leader) = &mut self.role else {
             return;
         };
@@ -196,33 +207,33 @@
             set: accepted.set,
             revision,
         };
-        let receipt = leader.head.apply(term, &change, kept);
-        let position = self.write(context, wire::LogPayload::Change(change));
+        let receipt = leader.head.apply(term, &change, max_accepted);
+        let position = self.append_and_replicate(context, wire::LogPayload::Change(change));
         let answer = ProposalAnswer::Accepted(receipt);
-        self.answer_at(context, position, proposal.number, answer);
+        self.answer_when_committed(context, position, proposal.number, answer);
     }
 }
 
-/// What a proposal is that is not refused.
-pub(super) enum Judgement {
-    /// A resend of an accepted one.
-    Known(change::ChangeReceipt),
-    /// A new one.
+/// A valid proposal.
+pub(super) enum ValidProposal {
+    /// A resend of a change that was accepted earlier.
+    Resend(change::ChangeReceipt),
+    /// A new change.
     New(AcceptedProposal),
 }
 
-/// What a new change writes to the log.
+/// The part of a new change that validation determines.
 pub(super) struct AcceptedProposal {
-    /// The id that it is remembered by.
+    /// The id under which the change is stored for resends.
     pub(super) change_id: ids::ChangeId,
-    /// Who asks for it; absent: the administrator.
+    /// The operator that requested it; `None` for the administrator.
     pub(super) operator: Option<ids::OperatorName>,
-    /// What it puts and removes.
+    /// The entries to put and remove.
     pub(super) set: change::ChangeSet,
 }
 
-/// What a request puts and removes in a catalogue.
-fn wanted_set(
+/// Returns the entries that a request puts and removes.
+fn requested_set(
     catalogue: &catalogue_state::CatalogueState,
     request: &change::ChangeRequest,
 ) -> change::ChangeSet {
@@ -232,22 +243,23 @@
     }
 }
 
-/// Whether a replacement may follow the revision in place.
-fn check_label(
-    present: &change::CatalogueRevision,
+/// Checks that a replacement is based on the current revision and that its label is newer.
+fn check_revision_label(
+    current: &change::CatalogueRevision,
     mark: &change::ReplacementMark,
 ) -> Result<(), code::ResultCode> {
-    if mark.base != present.label {
+    if mark.base != current.label {
         return Err(code::ResultCode::RevisionClash);
     }
-    if mark.label <= present.label {
+    if mark.label <= current.label {
         return Err(code::ResultCode::RevisionOld);
     }
     Ok(())
 }
 
-/// Who asks for a change, if they may. A token counts only for the owners in whose own entry it
-/// stands beside its operator, so that no owner can let itself into another one's entries.
+/// Returns the operator that requests a change, if all entries concerned are its own. A token
+/// counts only for owners whose own entry lists both the operator and the token, so that no owner
+/// can grant itself access to another owner's entries.
 pub(super) fn authorize(
     catalogue: &catalogue_state::CatalogueState,
     author: ChangeAuthor,
@@ -257,13 +269,13 @@
         return Ok(None);
     };
     let owners = || catalogue.entries.values().filter_map(owner_entry);
-    let holder = owners().find_map(|owner| holder_of(owner, token));
+    let holder = owners().find_map(|owner| operator_of_token(owner, token));
     let Some(holder) = holder else {
         return Err(code::ResultCode::OperatorUnknown.into());
     };
     let may_change = |owner: &ids::EntryName| {
         let owner = catalogue.owner(owner);
-        owner.is_some_and(|owner| holder_of(owner, token).is_some())
+        owner.is_some_and(|owner| operator_of_token(owner, token).is_some())
     };
     let mut faults = Vec::new();
     let keys = set.put.iter().map(entry::CatalogueEntry::key);
@@ -296,7 +308,10 @@
     }
 }
 
-fn holder_of(owner: &entry::OwnerEntry, token: ids::StateDigest) -> Option<ids::OperatorName> {
+fn operator_of_token(
+    owner: &entry::OwnerEntry,
+    token: ids::StateDigest,
+) -> Option<ids::OperatorName> {
     let is_holder = |name: &&ids::OperatorName| owner.tokens.get(*name) == Some(&token);
     owner.operators.iter().find(is_holder).cloned()
 }
--- a/crates/engine/src/replication/follower.rs
+++ b/crates/engine/src/replication/follower.rs
@@ -1,16 +1,17 @@
-//! A follower's work: takes entries or a snapshot and says what it keeps.
+//! The follower's part: accepts entries and snapshots from the leader and acknowledges what is on
+//! disk.
 
 use std::net::SocketAddr;
 
 use hazeltiller_units::{ids, time};
 use hazeltiller_wire::replication as wire;
 
-use super::{ReplicaContext, ReplicationState, machine, window};
+use super::{ReplicaContext, ReplicationState, state_machine, window};
 use crate::{dissemination, event};
 
 impl ReplicationState {
-    /// Takes entries of the leader.
-    pub(super) fn append(
+    /// Handles entries or a heartbeat from the leader.
+    pub(super) fn handle_append(
         &mut self,
         context: &mut ReplicaContext,
         address: SocketAddr,
@@ -19,49 +20,49 @@
         request: wire::AppendRequest,
     ) {
         let (sent, at) = (request.sent, context.now);
-        let refused = |position| wire::AppendAnswer {
+        let rejection = |position| wire::AppendAnswer {
             is_accepted: false,
             position,
             sent,
             at,
         };
         if !is_current {
-            let answer = refused(ids::LogPosition::default());
-            return self.answer_leader(address, replica, answer);
+            let answer = rejection(ids::LogPosition::default());
+            return self.acknowledge(address, replica, answer);
         }
-        self.heard_leader(context, address);
-        if !self.holds(request.previous) {
-            let answer = refused(self.commit.next());
-            return self.answer_leader(address, replica, answer);
+        self.record_leader_contact(context, address);
+        if !self.has_entry(request.previous) {
+            let answer = rejection(self.commit.next());
+            return self.acknowledge(address, replica, answer);
         }
         let is_heartbeat = request.entries.is_empty();
-        let reached = request.previous.position.0 + request.entries.len() as u64;
-        let reached = ids::LogPosition(reached);
-        self.take_entries(request.entries);
-        let commit = request.commit.min(reached);
+        let last_position = request.previous.position.0 + request.entries.len() as u64;
+        let last_position = ids::LogPosition(last_position);
+        self.merge_entries(request.entries);
+        let commit = request.commit.min(last_position);
         if commit > self.commit {
             self.commit_to(context, commit);
         }
         if request.is_proven && self.commit >= request.commit {
-            self.proven = self.proven.max(Some(request.echo));
+            self.proven_at = self.proven_at.max(Some(request.echo));
         }
         let mut answer = wire::AppendAnswer {
             is_accepted: true,
-            position: reached,
+            position: last_position,
             sent,
             at,
         };
-        if is_heartbeat && self.writes.is_hard_kept() {
-            answer.position = reached.min(self.writes.synced());
+        if is_heartbeat && self.write_queue.is_hard_state_synced() {
+            answer.position = last_position.min(self.write_queue.synced());
             let message = self.message(Some(replica), wire::ReplicationBody::Appended(answer));
             context.output.send(address, message);
         } else {
-            self.answer_leader(address, replica, answer);
+            self.acknowledge(address, replica, answer);
         }
     }
 
-    /// Takes a snapshot of the leader in place of entries that it no longer holds.
-    pub(super) fn install(
+    /// Handles a snapshot, which the leader sends when it no longer holds the next entry.
+    pub(super) fn handle_snapshot(
         &mut self,
         context: &mut ReplicaContext,
         address: SocketAddr,
@@ -77,9 +78,9 @@
             at: context.now,
         };
         if !is_current {
-            return self.answer_leader(address, replica, answer);
+            return self.acknowledge(address, replica, answer);
         }
-        self.heard_leader(context, address);
+        self.record_leader_contact(context, address);
         if !snapshot.catalogue.is_sound() {
             return;
         }
@@ -88,43 +89,45 @@
         if snapshot.mark.position > self.commit {
             self.restore(context, snapshot);
         }
-        self.answer_leader(address, replica, answer);
+        self.acknowledge(address, replica, answer);
     }
 
     fn restore(&mut self, context: &mut ReplicaContext, snapshot: wire::LogSnapshot) {
         let position = snapshot.mark.position;
-        if self.holds(snapshot.mark) {
+        if self.has_entry(snapshot.mark) {
             self.log.compact(position);
         } else {
             self.log = window::LogWindow::after(snapshot.mark, snapshot.group.clone());
-            self.writes.forget_from(self.commit.next());
+            self.write_queue.mark_unsynced_from(self.commit.next());
         }
-        let machine = machine::LogMachine::restore(&snapshot);
-        if machine.catalogue.version > self.machine.catalogue.version {
-            let restored = dissemination::DisseminationEvent::Restored(machine.catalogue.clone());
+        let state_machine = state_machine::StateMachine::restore(&snapshot);
+        if state_machine.catalogue.version > self.state_machine.catalogue.version {
+            let restored =
+                dissemination::DisseminationEvent::Restored(state_machine.catalogue.clone());
             context.output.follow(event::Event::Dissemination(restored));
         }
-        self.machine = machine;
+        self.state_machine = state_machine;
         self.commit = position;
-        self.writes.keep_snapshot(snapshot);
+        self.write_queue.queue_snapshot(snapshot);
     }
 
-    fn heard_leader(&mut self, context: &mut ReplicaContext, address: SocketAddr) {
-        let term = self.hard.term;
-        self.follow(context, term);
+    fn record_leader_contact(&mut self, context: &mut ReplicaContext, address: SocketAddr) {
+        let term = self.hard_state.term;
+        self.become_follower(context, term);
         self.leader = Some(address);
-        self.leader_heard = Some(context.now);
-        self.reset_election(context);
+        self.leader_heard_at = Some(context.now);
+        self.schedule_election(context);
     }
 
-    fn holds(&self, mark: wire::LogMark) -> bool {
-        // What lies before the base is committed, and every leader holds the same there.
+    fn has_entry(&self, mark: wire::LogMark) -> bool {
+        // Everything before the base is committed and therefore identical on every leader.
         mark.position < self.log.base().position
             || self.log.term_at(mark.position) == Some(mark.term)
     }
 
-    /// Appends what is missing; drops own entries only where one conflicts.
-    fn take_entries(&mut self, entries: Vec<wire::LogEntry>) {
+    /// Appends missing entries. Truncates the log only at an entry that conflicts with the
+    /// leader's.
+    fn merge_entries(&mut self, entries: Vec<wire::LogEntry>) {
         for entry in entries {
             if entry.position <= self.log.base().position {
                 continue;
@@ -134,25 +137,25 @@
                 Some(_) => {
                     assert!(
                         entry.position > self.commit,
-                        "a committed entry never changes"
+                        "committed entries must not be truncated"
                     );
                     self.log.truncate(entry.position);
-                    self.writes.keep_truncation(entry.position);
+                    self.write_queue.queue_truncation(entry.position);
                 }
                 None => {}
             }
             self.log.append(entry.clone());
-            self.writes.keep_entry(entry);
+            self.write_queue.queue_entry(entry);
         }
     }
 
-    fn answer_leader(
+    fn acknowledge(
         &mut self,
         address: SocketAddr,
         replica: ids::ReplicaId,
         answer: wire::AppendAnswer,
     ) {
         let message = self.message(Some(replica), wire::ReplicationBody::Appended(answer));
-        self.send_kept(address, message);
+        self.send_when_synced(address, message);
     }
 }
--- a/crates/engine/src/replication/group.rs
+++ b/crates/engine/src/replication/group.rs
@@ -1,10 +1,9 @@
-//! Who belongs to the group: how it is founded, how learners make themselves known, how voters
-//! change.
+//! Membership of the control group: its bootstrap, the discovery of learners and changes of voters.
 //!
-//! A group is founded once every address of the settings is held by a replica that was started for
-//! it, so no instance that knows an older group can be passed over. From then on voters change one
-//! at a time by entries of the log: two groups that differ by one voter share one in every two
-//! majorities.
+//! The group is bootstrapped only once a replica that was started for bootstrap answers at every
+//! control address in the settings. This way no instance that belongs to an older group is
+//! overlooked. Afterwards voters change one at a time, by log entries: the majorities of two groups
+//! that differ by one voter always overlap.
 
 use std::net::SocketAddr;
 
@@ -18,29 +17,30 @@
 };
 use crate::settings;
 
-/// Most voters of a group.
-pub const MOST_VOTERS: usize = 7;
+/// Largest number of voters in a group.
+pub const MAX_VOTERS: usize = 7;
 
-/// A replica as it introduced itself.
+/// The latest introduction received from a replica.
 #[derive(Debug, Clone)]
-pub(super) struct KnownReplica {
+pub(super) struct IntroducedReplica {
     member: wire::GroupMember,
     introduction: wire::ReplicaIntroduction,
-    heard: time::MonotonicTime,
+    heard_at: time::MonotonicTime,
 }
 
 impl ReplicationState {
-    /// Introduces this replica as long as it has no leader or no vote; founds the group.
+    /// Bootstraps the group if it can, and introduces this replica to the other controls while it
+    /// has no leader or no vote.
     pub(super) fn tick_group(&mut self, context: &mut ReplicaContext) {
         if self.has_failed() {
             return;
         }
-        if self.hard.is_forming && !may_found(context) {
-            self.hard.is_forming = false;
-            self.writes.keep_hard();
+        if self.hard_state.is_forming && !may_bootstrap(context) {
+            self.hard_state.is_forming = false;
+            self.write_queue.queue_hard_state();
         }
-        if self.hard.is_forming {
-            self.found(context);
+        if self.hard_state.is_forming {
+            self.bootstrap(context);
         }
         let has_leader = self.leader.is_some() || matches!(self.role, ReplicaRole::Leader(_));
         if has_leader && self.is_voter() {
@@ -48,12 +48,12 @@
         }
         let period = settings::millis(context.tunables().introduction_ms);
         if self
-            .introduced
+            .introduced_at
             .is_some_and(|last| context.now.since(last) < period)
         {
             return;
         }
-        self.introduced = Some(context.now);
+        self.introduced_at = Some(context.now);
         let own = context.settings.identity.address;
         let voters = self.other_voters();
         let known = voters.iter().map(|voter| voter.address);
@@ -64,11 +64,11 @@
         addresses.sort_unstable();
         addresses.dedup();
         for address in addresses.into_iter().filter(|address| *address != own) {
-            self.introduce(context, address, None, true);
+            self.send_introduction(context, address, None, true);
         }
     }
 
-    fn introduce(
+    fn send_introduction(
         &self,
         context: &mut ReplicaContext,
         to: SocketAddr,
@@ -95,14 +95,14 @@
         context.output.send(to, message);
     }
 
-    /// Whether the log shows that this replica, and so its folder, is one of those that founded the group.
-    /// A folder that was emptied since then belongs to a replica that came later, whatever the settings
-    /// say of a first start; so does one whose log no longer reaches back to the founding.
-    pub fn has_founded(&self) -> bool {
+    /// Whether the log shows that this replica took part in the bootstrap of the group. This is
+    /// false for a data folder that was emptied since, even if the settings ask for a bootstrap,
+    /// and for a log that no longer reaches back to its first entry.
+    pub fn is_founding_replica(&self) -> bool {
         let first = ids::LogPosition(1);
         let founding = self.log.get(first).filter(|_| self.commit >= first);
         founding.is_some_and(|entry| match &entry.payload {
-            wire::LogPayload::Group(group) => group.has(self.hard.replica),
+            wire::LogPayload::Group(group) => group.has(self.hard_state.replica),
             _ => false,
         })
     }
@@ -110,15 +110,15 @@
     pub(super) fn standing(&self) -> wire::ReplicaStanding {
         if self.is_voter() {
             wire::ReplicaStanding::Voter
-        } else if self.hard.is_forming {
+        } else if self.hard_state.is_forming {
             wire::ReplicaStanding::Forming
         } else {
             wire::ReplicaStanding::Learner
         }
     }
 
-    /// Takes another replica's introduction.
-    pub(super) fn introduced(
+    /// Handles the introduction of another replica.
+    pub(super) fn handle_introduction(
         &mut self,
         context: &mut ReplicaContext,
         from: &wire_membership::PeerIdentity,
@@ -126,28 +126,28 @@
         introduction: wire::ReplicaIntroduction,
     ) {
         if introduction.asks {
-            self.introduce(context, from.address, Some(replica), false);
+            self.send_introduction(context, from.address, Some(replica), false);
         }
-        // A voter of an older group, whose vote went while it was away, is a learner of this one.
+        // A voter of an older configuration that was removed while it was away is a learner now.
         let is_forming = introduction.standing == wire::ReplicaStanding::Forming;
         if !is_forming && !self.log.group().has(replica) {
-            self.meet_learner(context, from, replica);
+            self.track_learner(context, from, replica);
         }
-        // The leader may be one that nobody's settings name: whoever follows it says where it is.
+        // The leader may not be in anyone's settings; its followers tell where it is.
         let own = context.settings.identity.address;
         if let Some(leader) = introduction.leader
             && self.leader.is_none()
             && leader != own
             && leader != from.address
         {
-            self.introduce(context, leader, None, false);
+            self.send_introduction(context, leader, None, false);
         }
-        if !self.hard.is_forming {
+        if !self.hard_state.is_forming {
             return;
         }
         let has_group = !introduction.voters.is_empty();
-        if has_group && !introduction.voters.contains(&self.hard.replica) {
-            self.refuse_bootstrap(context, &from.instance);
+        if has_group && !introduction.voters.contains(&self.hard_state.replica) {
+            self.abandon_bootstrap(context, &from.instance);
             return;
         }
         let member = wire::GroupMember {
@@ -155,23 +155,23 @@
             instance: from.instance.clone(),
             address: from.address,
         };
-        let known = KnownReplica {
+        let known = IntroducedReplica {
             member,
             introduction,
-            heard: context.now,
+            heard_at: context.now,
         };
         self.introductions.insert(from.address, known);
     }
 
-    /// A leader copies its log to a replica without a vote, too.
-    fn meet_learner(
+    /// Starts replicating the log to a learner if this replica leads.
+    fn track_learner(
         &mut self,
         context: &mut ReplicaContext,
         from: &wire_membership::PeerIdentity,
         replica: ids::ReplicaId,
     ) {
         let next = self.log.last().position.next();
-        let heard = context.now;
+        let heard_at = context.now;
         let ReplicaRole::Leader(leader) = &mut self.role else {
             return;
         };
@@ -180,29 +180,29 @@
             .replicas
             .retain(|id, known| known.address != from.address || is_voter(id) || *id == replica);
         let instance = Some(from.instance.clone());
-        leader
-            .replicas
-            .entry(replica)
-            .or_insert_with(|| leader::ReplicaProgress::new(instance, from.address, next, heard));
+        leader.replicas.entry(replica).or_insert_with(|| {
+            leader::ReplicaProgress::new(instance, from.address, next, heard_at)
+        });
     }
 
-    fn refuse_bootstrap(&mut self, context: &mut ReplicaContext, by: &ids::InstanceName) {
-        self.hard.is_forming = false;
-        self.writes.keep_hard();
+    fn abandon_bootstrap(&mut self, context: &mut ReplicaContext, by: &ids::InstanceName) {
+        self.hard_state.is_forming = false;
+        self.write_queue.queue_hard_state();
         self.introductions.clear();
         let message = format!("{by} is in a control group that this instance does not belong to");
         context.report(code::ResultCode::GroupPresent, message);
     }
 
-    /// Founds the group, where this replica is the one to do so and every other one is there.
-    fn found(&mut self, context: &mut ReplicaContext) {
+    /// Bootstraps the group if this replica has the lowest control address and all others are
+    /// ready.
+    fn bootstrap(&mut self, context: &mut ReplicaContext) {
         if !self.log.group().voters.is_empty() {
-            self.hard.is_forming = false;
-            self.writes.keep_hard();
+            self.hard_state.is_forming = false;
+            self.write_queue.queue_hard_state();
             return;
         }
         let own = wire::GroupMember {
-            replica: self.hard.replica,
+            replica: self.hard_state.replica,
             instance: context.settings.identity.instance.clone(),
             address: context.settings.identity.address,
         };
@@ -210,7 +210,7 @@
         control.push(own.address);
         control.sort_unstable();
         control.dedup();
-        if control.first() != Some(&own.address) || control.len() > MOST_VOTERS {
+        if control.first() != Some(&own.address) || control.len() > MAX_VOTERS {
             return;
         }
         let mut voters = vec![own];
@@ -221,7 +221,7 @@
             let introduction = &known.introduction;
             let is_ready = introduction.standing == wire::ReplicaStanding::Forming
                 && introduction.control == control
-                && context.is_fresh(known.heard);
+                && context.is_recent(known.heard_at);
             if !is_ready {
                 return;
             }
@@ -229,37 +229,37 @@
         }
         let id = ids::GroupId(context.random.random_range(1..=u64::MAX));
         let group = wire::ControlGroup { id, voters };
-        self.hard.is_forming = false;
-        self.hard.term = ids::LeaderTerm(1);
-        self.hard.vote = Some(self.hard.replica);
-        self.writes.keep_hard();
+        self.hard_state.is_forming = false;
+        self.hard_state.term = ids::LeaderTerm(1);
+        self.hard_state.vote = Some(self.hard_state.replica);
+        self.write_queue.queue_hard_state();
         let entry = wire::LogEntry {
             position: ids::LogPosition(1),
-            term: self.hard.term,
+            term: self.hard_state.term,
             payload: wire::LogPayload::Group(group),
         };
         self.log.append(entry.clone());
-        self.writes.keep_entry(entry);
-        // It stands for election at once; the others learn of the group from the log.
+        self.write_queue.queue_entry(entry);
+        // Starts the election at once; the other replicas learn of the group from the log.
         self.election_at = Some(context.now);
     }
 
-    /// Takes the administrator's wish for other voters.
+    /// Handles the administrator's request to add or remove a voter.
     pub(super) fn change_group(
         &mut self,
         context: &mut ReplicaContext,
         number: ProposalNumber,
         change: &GroupChange,
     ) {
-        if let Some(answer) = self.unready(context) {
+        if let Some(answer) = self.unavailable_answer(context) {
             return context.answer(number, answer);
         }
-        match self.changed_group(context, change) {
+        match self.group_after(context, change) {
             Ok(group) => {
                 let payload = wire::LogPayload::Group(group.clone());
-                let position = self.write(context, payload);
+                let position = self.append_and_replicate(context, payload);
                 let answer = ProposalAnswer::GroupChanged(group);
-                self.answer_at(context, position, number, answer);
+                self.answer_when_committed(context, position, number, answer);
             }
             Err(message) => {
                 let code = code::ResultCode::MemberUnsuitable;
@@ -271,7 +271,7 @@
                 };
                 let answer = ProposalAnswer::Refused {
                     code,
-                    version: self.machine.catalogue.version,
+                    version: self.state_machine.catalogue.version,
                     faults: vec![fault],
                 };
                 context.answer(number, answer);
@@ -279,8 +279,8 @@
         }
     }
 
-    /// The group after a change, or why it cannot be made now.
-    pub(super) fn changed_group(
+    /// Returns the voters after a change, or the reason why the change is not possible now.
+    pub(super) fn group_after(
         &self,
         context: &ReplicaContext,
         change: &GroupChange,
@@ -288,31 +288,31 @@
         let ReplicaRole::Leader(leader) = &self.role else {
             return Err("this control does not lead".into());
         };
-        if self.commit < leader.first || self.log.group_position() > self.commit {
+        if self.commit < leader.term_start || self.log.group_position() > self.commit {
             return Err("another change of the group is under way".into());
         }
         let mut group = self.log.group().clone();
         match change {
             GroupChange::Add(instance) => {
-                let member = self.ready_learner(context, leader, instance)?;
+                let member = self.promotable_learner(context, leader, instance)?;
                 group.voters.push(member);
             }
             GroupChange::Remove(instance) => {
-                let place = group
+                let index = group
                     .voters
                     .iter()
-                    .position(|one| one.instance == *instance);
-                let place = place.ok_or_else(|| format!("{instance} has no vote"))?;
+                    .position(|voter| voter.instance == *instance);
+                let index = index.ok_or_else(|| format!("{instance} has no vote"))?;
                 if group.voters.len() == 1 {
                     return Err("the last voter cannot be removed".into());
                 }
-                group.voters.remove(place);
+                group.voters.remove(index);
             }
         }
         let is_alive = |voter: &&wire::GroupMember| {
             let progress = leader.replicas.get(&voter.replica);
-            voter.replica == self.hard.replica
-                || progress.is_some_and(|progress| context.is_fresh(progress.heard))
+            voter.replica == self.hard_state.replica
+                || progress.is_some_and(|progress| context.is_recent(progress.heard_at))
         };
         if group.voters.iter().filter(is_alive).count() < group.majority() {
             return Err("too few of the voters that would be left can be reached".into());
@@ -320,35 +320,35 @@
         Ok(group)
     }
 
-    fn ready_learner(
+    fn promotable_learner(
         &self,
         context: &ReplicaContext,
         leader: &leader::LeaderState,
         instance: &ids::InstanceName,
     ) -> Result<wire::GroupMember, String> {
         let group = self.log.group();
-        if group.voters.len() >= MOST_VOTERS {
-            return Err(format!("a group has at most {MOST_VOTERS} voters"));
+        if group.voters.len() >= MAX_VOTERS {
+            return Err(format!("a group has at most {MAX_VOTERS} voters"));
         }
         let mut learners = leader.replicas.iter();
         let found = learners.find(|(replica, progress)| {
             !group.has(**replica) && progress.instance.as_ref() == Some(instance)
         });
         let Some((replica, progress)) = found else {
-            if group.voters.iter().any(|one| one.instance == *instance) {
+            if group.voters.iter().any(|voter| voter.instance == *instance) {
                 return Err(format!("{instance} has a vote already"));
             }
             return Err(format!("{instance} is no learner that the leader has met"));
         };
-        let is_namesake = |voter: &wire::GroupMember| {
+        let is_same_place = |voter: &wire::GroupMember| {
             voter.instance == *instance || voter.address == progress.address
         };
-        if group.voters.iter().any(is_namesake) {
+        if group.voters.iter().any(is_same_place) {
             return Err(format!(
                 "{instance} still has the vote of its earlier folder; remove it first"
             ));
         }
-        if !context.is_fresh(progress.heard) || progress.matched < self.commit {
+        if !context.is_recent(progress.heard_at) || progress.matched < self.commit {
             return Err(format!(
                 "{instance} has not caught up yet: it holds {} of {}",
                 progress.matched, self.commit
@@ -362,12 +362,12 @@
     }
 }
 
-/// Whether this replica is one of those that found the group. A group that heals itself is
-/// founded by the instances that everyone was told of; others join it.
-fn may_found(context: &ReplicaContext) -> bool {
+/// Whether this replica may take part in the bootstrap. A self-healing group is bootstrapped by the
+/// instances that the settings name; all others join it as learners.
+fn may_bootstrap(context: &ReplicaContext) -> bool {
     let own = context.settings.identity.address;
-    let heals = context.tunables().voters > 0;
-    !heals || control_addresses(context).any(|address| address == own)
+    let is_self_healing = context.tunables().voters > 0;
+    !is_self_healing || control_addresses(context).any(|address| address == own)
 }
 
 fn control_addresses<'a>(context: &ReplicaContext<'a>) -> impl Iterator<Item = SocketAddr> + 'a {
--- a/crates/engine/src/replication/healing.rs
+++ b/crates/engine/src/replication/healing.rs
@@ -1,16 +1,18 @@
-//! A group that replaces lost voters by itself.
+//! Automatic replacement of lost voters.
 //!
-//! The leader moves one vote at a time and only as [`super::GroupChange`]s, so whatever is proven of
-//! those holds here: the log decides, a majority of the group that results must be alive, and a
-//! replica without a vote must hold all that is committed before it gets one. What is lost:
+//! The leader changes one voter at a time, and only by [`super::GroupChange`], so the same safety
+//! rules apply: the change is a log entry, a majority of the resulting voters must be alive, and a
+//! learner must hold all committed entries before its promotion. A voter counts as lost in two
+//! cases:
 //!
-//! - the disk of a voter, when an instance of its name or address comes back as another replica:
-//!   the old vote can never be cast again, so it goes at once, then the new replica gets one;
-//! - a voter that has been silent for `replication.replace_ms`: another replica gets a vote first,
-//!   then the silent one loses its own. One that comes back later is a replica without a vote.
+//! - Its disk is lost: a replica with another id introduces itself under the voter's instance name
+//!   or address. The old vote can never be cast again, so the voter is removed first and the new
+//!   replica is promoted afterwards.
+//! - It has been silent for `replication.replace_ms`. Another replica is promoted first, then the
+//!   silent voter is removed. If it comes back later, it is a learner.
 //!
-//! With as many voters as wanted and one replica in reserve, the loss of a second voter a moment
-//! after the first costs no more than with one voter more, and every commit waits for one disk less.
+//! With one learner in reserve, the group survives the loss of a second voter shortly after the
+//! first as well as a group with one more voter would, and a commit waits for one disk fewer.
 
 use hazeltiller_units::ids;
 use hazeltiller_wire::replication as wire;
@@ -18,11 +20,11 @@
 use super::{GroupChange, ReplicaContext, ReplicaRole, ReplicationState, leader};
 use crate::settings;
 
-/// Multiples of `replication.replace_ms` after which a silent replica without a vote is forgotten.
-const FORGET_SILENCES: u32 = 20;
+/// Multiple of `replication.replace_ms` after which the leader forgets a silent learner.
+const FORGET_AFTER_PERIODS: u32 = 20;
 
 impl ReplicationState {
-    /// Moves the vote of a lost voter, if there is one and the group heals itself.
+    /// Replaces a lost voter, if automatic replacement is enabled.
     pub(super) fn tick_healing(&mut self, context: &mut ReplicaContext) {
         let wanted = context.tunables().voters as usize;
         if wanted == 0 || self.has_failed() {
@@ -32,41 +34,41 @@
         let Some(change) = self.healing_change(context, wanted) else {
             return;
         };
-        if let Ok(group) = self.changed_group(context, &change) {
+        if let Ok(group) = self.group_after(context, &change) {
             let message = format!("the group heals itself: {change:?}");
             context.report(hazeltiller_units::code::ResultCode::VoterReplaced, message);
-            self.write(context, wire::LogPayload::Group(group));
+            self.append_and_replicate(context, wire::LogPayload::Group(group));
         }
     }
 
-    /// The next change on the way to as many live voters as wanted.
+    /// Returns the next change towards the wanted number of live voters.
     fn healing_change(&self, context: &ReplicaContext, wanted: usize) -> Option<GroupChange> {
         let ReplicaRole::Leader(leader) = &self.role else {
             return None;
         };
         let voters = &self.log.group().voters;
-        if let Some(emptied) = voters
+        if let Some(lost) = voters
             .iter()
-            .find(|one| self.is_emptied(context, leader, one))
+            .find(|voter| self.has_lost_disk(context, leader, voter))
         {
-            return Some(GroupChange::Remove(emptied.instance.clone()));
+            return Some(GroupChange::Remove(lost.instance.clone()));
         }
         let silent = voters
             .iter()
-            .find(|one| self.is_silent(context, leader, one));
+            .find(|voter| self.is_silent(context, leader, voter));
         if voters.len() > wanted {
-            let surplus = silent.or_else(|| self.newest_other(voters))?;
+            let surplus = silent.or_else(|| self.newest_other_voter(voters))?;
             return Some(GroupChange::Remove(surplus.instance.clone()));
         }
         if voters.len() == wanted && silent.is_none() {
             return None;
         }
-        let ready = self.ready_instances(context, leader).next()?;
-        Some(GroupChange::Add(ready))
+        let learner = self.promotable_instances(context, leader).next()?;
+        Some(GroupChange::Add(learner))
     }
 
-    /// Whether a voter's disk is gone: its place is taken by a replica that holds the whole log.
-    fn is_emptied(
+    /// Whether a voter has lost its disk: a caught-up learner has its instance name or address.
+    fn has_lost_disk(
         &self,
         context: &ReplicaContext,
         leader: &leader::LeaderState,
@@ -75,10 +77,10 @@
         let successors = self.learners(leader).filter(|(_, progress)| {
             progress.instance.as_ref() == Some(&voter.instance) || progress.address == voter.address
         });
-        voter.replica != self.hard.replica
+        voter.replica != self.hard_state.replica
             && successors
                 .into_iter()
-                .any(|(_, progress)| self.is_ready(context, progress))
+                .any(|(_, progress)| self.is_caught_up(context, progress))
     }
 
     fn is_silent(
@@ -87,39 +89,44 @@
         leader: &leader::LeaderState,
         voter: &wire::GroupMember,
     ) -> bool {
-        let patience = settings::millis(context.tunables().replace_ms);
+        let silence_limit = settings::millis(context.tunables().replace_ms);
         let progress = leader.replicas.get(&voter.replica);
-        voter.replica != self.hard.replica
-            && progress.is_none_or(|progress| context.now.since(progress.heard) > patience)
+        voter.replica != self.hard_state.replica
+            && progress.is_none_or(|progress| context.now.since(progress.heard_at) > silence_limit)
     }
 
-    fn newest_other<'a>(&self, voters: &'a [wire::GroupMember]) -> Option<&'a wire::GroupMember> {
-        let own = self.hard.replica;
+    fn newest_other_voter<'a>(
+        &self,
+        voters: &'a [wire::GroupMember],
+    ) -> Option<&'a wire::GroupMember> {
+        let own = self.hard_state.replica;
         voters.iter().rev().find(|voter| voter.replica != own)
     }
 
-    /// Instances that could get a vote now.
-    fn ready_instances(
+    /// Instances of learners that could be promoted now.
+    fn promotable_instances(
         &self,
         context: &ReplicaContext,
         leader: &leader::LeaderState,
     ) -> impl Iterator<Item = ids::InstanceName> {
         let voters = &self.log.group().voters;
-        let is_namesake = |progress: &leader::ReplicaProgress| {
+        let is_same_place = |progress: &leader::ReplicaProgress| {
             voters.iter().any(|voter| {
                 progress.instance.as_ref() == Some(&voter.instance)
                     || progress.address == voter.address
             })
         };
         self.learners(leader)
-            .filter(|(_, progress)| self.is_ready(context, progress) && !is_namesake(progress))
+            .filter(|(_, progress)| {
+                self.is_caught_up(context, progress) && !is_same_place(progress)
+            })
             .filter_map(|(_, progress)| progress.instance.clone())
             .collect::<Vec<_>>()
             .into_iter()
     }
 
-    fn is_ready(&self, context: &ReplicaContext, progress: &leader::ReplicaProgress) -> bool {
-        context.is_fresh(progress.heard) && progress.matched >= self.commit
+    fn is_caught_up(&self, context: &ReplicaContext, progress: &leader::ReplicaProgress) -> bool {
+        context.is_recent(progress.heard_at) && progress.matched >= self.commit
     }
 
     fn learners<'a>(
@@ -131,13 +138,13 @@
         replicas.filter(|(replica, _)| !group.has(**replica))
     }
 
-    /// Drops replicas without a vote that have been silent for long: nothing is sent to them.
+    /// Forgets learners that have been silent for long, so that nothing more is sent to them.
     fn forget_learners(&mut self, context: &ReplicaContext) {
-        let patience = settings::millis(context.tunables().replace_ms) * FORGET_SILENCES;
+        let silence_limit = settings::millis(context.tunables().replace_ms) * FORGET_AFTER_PERIODS;
         let group = self.log.group();
         if let ReplicaRole::Leader(leader) = &mut self.role {
             leader.replicas.retain(|replica, progress| {
-                group.has(*replica) || context.now.since(progress.heard) < patience
+                group.has(*replica) || context.now.since(progress.heard_at) < silence_limit
             });
         }
     }
--- a/crates/engine/src/replication/leader.rs
+++ b/crates/engine/src/replication/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's work: copies entries to every replica and commits what a majority keeps.
+//! The leader's part: replicates entries to every replica and commits what a majority has on disk.
 
 use std::{collections::VecDeque, net::SocketAddr};
 
@@ -7,30 +7,33 @@
 use indexmap::IndexMap;
 
 use super::{
-    ProposalAnswer, ProposalNumber, ReplicaContext, ReplicaRole, ReplicationState, machine, proof,
+    ProposalAnswer, ProposalNumber, ReplicaContext, ReplicaRole, ReplicationState, confirmation,
+    state_machine,
 };
 use crate::{dissemination, event, settings};
 
-/// A snapshot that was sent is taken for lost after this many election timeouts.
-const INSTALL_PATIENCE: u32 = 4;
+/// Number of election timeouts after which an unacknowledged snapshot is sent again.
+const SNAPSHOT_RESEND_TIMEOUTS: u32 = 4;
 
-/// How far a replica is, as its leader knows.
+/// Replication progress of another replica, as known to the leader.
 #[derive(Debug, Clone)]
 pub(super) struct ReplicaProgress {
     pub(super) instance: Option<ids::InstanceName>,
     pub(super) address: SocketAddr,
-    /// It keeps the log up to here.
+    /// Last position known to be on its disk.
     pub(super) matched: ids::LogPosition,
-    /// Sending time, by the leader's clock, of the latest request that it answered.
-    pub(super) heard: time::MonotonicTime,
-    /// Stamp of the latest request that it answered.
-    pub(super) confirmed: time::MonotonicTime,
-    /// Its own clock in its latest answer.
-    echo: time::MonotonicTime,
+    /// Sending time, by the leader's clock, of the latest request that it acknowledged.
+    pub(super) heard_at: time::MonotonicTime,
+    /// Stamp of the latest request that it acknowledged.
+    pub(super) acked_stamp: time::MonotonicTime,
+    /// The replica's own clock, from its latest acknowledgement.
+    replica_clock: time::MonotonicTime,
+    /// Position of the next entry to send.
     next: ids::LogPosition,
-    /// Whether `next` is known to fit, so that entries are sent ahead of answers.
-    is_following: bool,
-    installing: Option<time::MonotonicTime>,
+    /// Whether `next` is known to match the replica's log, so that further entries can be sent
+    /// before the previous ones are acknowledged.
+    is_pipelining: bool,
+    snapshot_sent_at: Option<time::MonotonicTime>,
 }
 
 impl ReplicaProgress {
@@ -38,18 +41,18 @@
         instance: Option<ids::InstanceName>,
         address: SocketAddr,
         next: ids::LogPosition,
-        heard: time::MonotonicTime,
+        heard_at: time::MonotonicTime,
     ) -> Self {
         Self {
             instance,
             address,
             matched: ids::LogPosition::default(),
-            heard,
-            confirmed: time::MonotonicTime::default(),
-            echo: time::MonotonicTime::default(),
+            heard_at,
+            acked_stamp: time::MonotonicTime::default(),
+            replica_clock: time::MonotonicTime::default(),
             next,
-            is_following: false,
-            installing: None,
+            is_pipelining: false,
+            snapshot_sent_at: None,
         }
     }
 }
@@ -58,37 +61,38 @@
 #[derive(Debug, Clone)]
 pub(super) struct LeaderState {
     pub(super) replicas: IndexMap<ids::ReplicaId, ReplicaProgress>,
-    /// What the whole log leads to, committed or not.
-    pub(super) head: machine::LogMachine,
-    /// The leader's first own entry.
-    pub(super) first: ids::LogPosition,
-    /// Proposals that are in the log and wait for its commit.
-    waiting: VecDeque<(ids::LogPosition, ProposalNumber, ProposalAnswer)>,
-    /// Answers that wait for a majority to say that this is still the leader.
-    pub(super) proofs: proof::ProofQueue,
-    beat: Option<time::MonotonicTime>,
+    /// State after applying the whole log, including uncommitted entries.
+    pub(super) head: state_machine::StateMachine,
+    /// Position of the first entry of the leader's own term.
+    pub(super) term_start: ids::LogPosition,
+    /// Answers to proposals whose log entries are not committed yet, ordered by position.
+    pending_answers: VecDeque<(ids::LogPosition, ProposalNumber, ProposalAnswer)>,
+    /// Answers that wait until a majority confirms that this replica still leads.
+    pub(super) confirmations: confirmation::ConfirmationQueue,
+    last_heartbeat: Option<time::MonotonicTime>,
 }
 
 impl LeaderState {
-    /// Has an answer wait for the commit of a position, which is not before those that wait.
-    pub(super) fn wait(
+    /// Holds an answer back until a position is committed.
+    pub(super) fn hold_answer(
         &mut self,
         position: ids::LogPosition,
         number: ProposalNumber,
         answer: ProposalAnswer,
     ) {
         let place = self
-            .waiting
-            .partition_point(|(waiting, _, _)| *waiting <= position);
-        self.waiting.insert(place, (position, number, answer));
+            .pending_answers
+            .partition_point(|(awaited, _, _)| *awaited <= position);
+        self.pending_answers
+            .insert(place, (position, number, answer));
     }
 
-    /// Answers every proposal that waits, as a leader that leads no more.
-    pub(super) fn abandon(self, version: ids::CatalogueVersion, context: &mut ReplicaContext) {
-        for (_, number, _) in self.waiting {
+    /// Answers all pending proposals when the leader steps down.
+    pub(super) fn fail_pending(self, version: ids::CatalogueVersion, context: &mut ReplicaContext) {
+        for (_, number, _) in self.pending_answers {
             context.answer(number, ProposalAnswer::Unknown);
         }
-        for number in self.proofs.into_numbers() {
+        for number in self.confirmations.into_numbers() {
             let refused = ProposalAnswer::Refused {
                 code: code::ResultCode::LeaderUnknown,
                 version,
@@ -98,134 +102,137 @@
         }
     }
 
-    fn answer_up_to(&mut self, commit: ids::LogPosition, context: &mut ReplicaContext) {
+    fn answer_committed(&mut self, commit: ids::LogPosition, context: &mut ReplicaContext) {
         while self
-            .waiting
+            .pending_answers
             .front()
             .is_some_and(|(position, _, _)| *position <= commit)
         {
-            let front = self.waiting.pop_front();
-            let (_, number, answer) = front.expect("front was just seen");
+            let front = self.pending_answers.pop_front();
+            let (_, number, answer) = front.expect("the queue is not empty");
             context.answer(number, answer);
         }
     }
 }
 
 impl ReplicationState {
-    /// Becomes the leader of the present term.
-    pub(super) fn lead(&mut self, context: &mut ReplicaContext) {
-        let mut head = self.machine.clone();
-        let kept = context.tunables().changes_kept as usize;
-        for entry in self.log.slice(self.commit.next(), usize::MAX) {
+    /// Becomes the leader of the current term.
+    pub(super) fn become_leader(&mut self, context: &mut ReplicaContext) {
+        let mut head = self.state_machine.clone();
+        let max_accepted = context.tunables().changes_kept as usize;
+        for entry in self.log.slice_for_message(self.commit.next(), usize::MAX) {
             if let wire::LogPayload::Change(change) = &entry.payload {
-                head.apply(entry.term, change, kept);
+                head.apply(entry.term, change, max_accepted);
             }
         }
         let next = self.log.last().position.next();
         let progress = |voter: wire::GroupMember| {
-            let heard = context.now;
-            let progress = ReplicaProgress::new(Some(voter.instance), voter.address, next, heard);
+            let heard_at = context.now;
+            let progress =
+                ReplicaProgress::new(Some(voter.instance), voter.address, next, heard_at);
             (voter.replica, progress)
         };
         let replicas = self.other_voters().into_iter().map(progress).collect();
         self.role = ReplicaRole::Leader(Box::new(LeaderState {
             replicas,
             head,
-            first: next,
-            waiting: VecDeque::new(),
-            proofs: proof::ProofQueue::default(),
-            beat: None,
+            term_start: next,
+            pending_answers: VecDeque::new(),
+            confirmations: confirmation::ConfirmationQueue::default(),
+            last_heartbeat: None,
         }));
         self.leader = None;
-        self.leader_heard = None;
-        self.proven = None;
-        self.write(context, wire::LogPayload::Empty);
+        self.leader_heard_at = None;
+        self.proven_at = None;
+        self.append_and_replicate(context, wire::LogPayload::Empty);
     }
 
-    /// Writes an entry to the own log and sends it to all others.
-    pub(super) fn write(
+    /// Appends an entry to the own log and sends it to all other replicas.
+    pub(super) fn append_and_replicate(
         &mut self,
         context: &mut ReplicaContext,
         payload: wire::LogPayload,
     ) -> ids::LogPosition {
         let entry = wire::LogEntry {
             position: self.log.last().position.next(),
-            term: self.hard.term,
+            term: self.hard_state.term,
             payload,
         };
         let position = entry.position;
         self.log.append(entry.clone());
-        self.writes.keep_entry(entry);
+        self.write_queue.queue_entry(entry);
         self.broadcast(context);
         position
     }
 
-    /// Steps down without a majority; gives signs of life.
+    /// Sends heartbeats when due. Steps down if a majority has not answered within the election
+    /// timeout.
     pub(super) fn tick_leader(&mut self, context: &mut ReplicaContext) {
         let ReplicaRole::Leader(leader) = &self.role else {
             return;
         };
-        if !self.has_quorum(context.now, context.election_time()) {
-            let term = self.hard.term;
-            return self.follow(context, term);
+        if !self.has_quorum(context.now, context.election_timeout()) {
+            let term = self.hard_state.term;
+            return self.become_follower(context, term);
         }
         let period = settings::millis(context.tunables().heartbeat_ms);
         let is_due = leader
-            .beat
-            .is_none_or(|beat| context.now.since(beat) >= period);
+            .last_heartbeat
+            .is_none_or(|last_heartbeat| context.now.since(last_heartbeat) >= period);
         if is_due {
             self.broadcast(context);
         }
-        self.give_proofs(context);
+        self.release_confirmed(context);
     }
 
-    /// Whether a majority answered what this leader sent within the period.
+    /// Whether a majority has answered requests that were sent within the period.
     pub(super) fn has_quorum(&self, now: time::MonotonicTime, period: std::time::Duration) -> bool {
         let ReplicaRole::Leader(leader) = &self.role else {
             return false;
         };
         let group = self.log.group();
         let is_heard = |voter: &&wire::GroupMember| {
-            voter.replica == self.hard.replica
+            voter.replica == self.hard_state.replica
                 || leader
                     .replicas
                     .get(&voter.replica)
-                    .is_some_and(|progress| now.since(progress.heard) < period)
+                    .is_some_and(|progress| now.since(progress.heard_at) < period)
         };
         group.voters.iter().filter(is_heard).count() >= group.majority()
     }
 
-    /// Whether this replica has just heard a majority and holds all that it had committed.
+    /// Whether this replica has heard from a majority within the period and holds all that was
+    /// committed at that time.
     pub(super) fn is_proven(&self, now: time::MonotonicTime, period: std::time::Duration) -> bool {
         if self.has_failed() {
             return false;
         }
         match &self.role {
             ReplicaRole::Leader(leader) => {
-                self.commit >= leader.first && self.has_quorum(now, period)
+                self.commit >= leader.term_start && self.has_quorum(now, period)
             }
             _ => self
-                .proven
+                .proven_at
                 .is_some_and(|proven| proven <= now && now.since(proven) < period),
         }
     }
 
-    /// Sends every replica what it misses, or a sign of life.
+    /// Sends each replica the entries that it lacks, or a heartbeat.
     pub(super) fn broadcast(&mut self, context: &mut ReplicaContext) {
         let ReplicaRole::Leader(leader) = &mut self.role else {
             return;
         };
-        leader.beat = Some(context.now);
-        leader.proofs.stamp(context.now);
+        leader.last_heartbeat = Some(context.now);
+        leader.confirmations.stamp(context.now);
         let replicas: Vec<ids::ReplicaId> = leader.replicas.keys().copied().collect();
         for replica in replicas {
             self.send_entries(context, replica);
         }
     }
 
-    /// Sends one replica what it misses, or a sign of life.
+    /// Sends one replica the entries that it lacks, or a heartbeat.
     pub(super) fn send_entries(&mut self, context: &mut ReplicaContext, replica: ids::ReplicaId) {
-        let is_proven = self.is_proven(context.now, context.election_time());
+        let is_proven = self.is_proven(context.now, context.election_timeout());
         let ReplicaRole::Leader(leader) = &mut self.role else {
             return;
         };
@@ -239,13 +246,13 @@
         let limit = context.tunables().append_entries as usize;
         let request = wire::AppendRequest {
             previous: wire::LogMark { term, position },
-            entries: self.log.slice(progress.next, limit),
+            entries: self.log.slice_for_message(progress.next, limit),
             commit: self.commit,
             is_proven,
-            sent: leader.proofs.last_stamp(),
-            echo: progress.echo,
+            sent: leader.confirmations.last_stamp(),
+            echo: progress.replica_clock,
         };
-        if progress.is_following {
+        if progress.is_pipelining {
             progress.next = ids::LogPosition(progress.next.0 + request.entries.len() as u64);
         }
         let address = progress.address;
@@ -254,20 +261,20 @@
     }
 
     fn send_snapshot(&mut self, context: &mut ReplicaContext, replica: ids::ReplicaId) {
-        let patience = context.election_time() * INSTALL_PATIENCE;
+        let resend_timeout = context.election_timeout() * SNAPSHOT_RESEND_TIMEOUTS;
         let ReplicaRole::Leader(leader) = &mut self.role else {
             return;
         };
         let Some(progress) = leader.replicas.get_mut(&replica) else {
             return;
         };
-        let is_under_way = |since: time::MonotonicTime| context.now.since(since) < patience;
-        if progress.installing.is_some_and(is_under_way) {
-            return self.send_sign_of_life(context, replica);
+        let is_under_way = |since: time::MonotonicTime| context.now.since(since) < resend_timeout;
+        if progress.snapshot_sent_at.is_some_and(is_under_way) {
+            return self.send_heartbeat(context, replica);
         }
-        progress.installing = Some(context.now);
+        progress.snapshot_sent_at = Some(context.now);
         let address = progress.address;
-        let sent = leader.proofs.last_stamp();
+        let sent = leader.confirmations.last_stamp();
         let body = wire::ReplicationBody::Install {
             snapshot: Box::new(self.snapshot()),
             sent,
@@ -276,9 +283,10 @@
         context.output.send(address, message);
     }
 
-    /// Keeps a replica that waits for a snapshot from standing for election, and hears from it: a
-    /// request that rests on the very beginning of the log, which everyone holds.
-    fn send_sign_of_life(&self, context: &mut ReplicaContext, replica: ids::ReplicaId) {
+    /// Sends a heartbeat to a replica that is waiting for a snapshot, so that it doesn't start an
+    /// election and its answers show that it is alive. The request refers to the empty start of the
+    /// log, which every replica holds.
+    fn send_heartbeat(&self, context: &mut ReplicaContext, replica: ids::ReplicaId) {
         let ReplicaRole::Leader(leader) = &self.role else {
             return;
         };
@@ -290,26 +298,26 @@
             entries: Vec::new(),
             commit: self.commit,
             is_proven: false,
-            sent: leader.proofs.last_stamp(),
-            echo: progress.echo,
+            sent: leader.confirmations.last_stamp(),
+            echo: progress.replica_clock,
         };
         let message = self.message(Some(replica), wire::ReplicationBody::Append(request));
         context.output.send(progress.address, message);
     }
 
-    /// The snapshot of all that is committed.
+    /// Snapshot of the committed state.
     pub(super) fn snapshot(&self) -> wire::LogSnapshot {
         let term = self.log.term_at(self.commit);
         let mark = wire::LogMark {
-            term: term.expect("the last committed entry's term is kept"),
+            term: term.expect("the log window covers the last committed entry"),
             position: self.commit,
         };
-        self.machine
+        self.state_machine
             .snapshot(mark, self.log.group_at(self.commit).clone())
     }
 
-    /// Takes a replica's answer.
-    pub(super) fn appended(
+    /// Handles an acknowledgement of entries, a heartbeat or a snapshot.
+    pub(super) fn handle_append_answer(
         &mut self,
         context: &mut ReplicaContext,
         replica: ids::ReplicaId,
@@ -322,69 +330,73 @@
         let Some(progress) = leader.replicas.get_mut(&replica) else {
             return;
         };
-        progress.heard = progress.heard.max(answer.sent.min(context.now));
-        progress.confirmed = progress.confirmed.max(answer.sent);
-        progress.echo = answer.at;
-        if progress.installing.is_some() && answer.position <= progress.matched {
-            // The snapshot is still on its way, or lost; this only answers a sign of life.
-            return self.give_proofs(context);
+        progress.heard_at = progress.heard_at.max(answer.sent.min(context.now));
+        progress.acked_stamp = progress.acked_stamp.max(answer.sent);
+        progress.replica_clock = answer.at;
+        if progress.snapshot_sent_at.is_some() && answer.position <= progress.matched {
+            // This acknowledges only a heartbeat; the snapshot is still in transit or lost.
+            return self.release_confirmed(context);
         }
         if answer.is_accepted {
             progress.matched = progress.matched.max(answer.position.min(last));
             progress.next = progress.next.max(progress.matched.next());
-            progress.is_following = true;
-            progress.installing = None;
+            progress.is_pipelining = true;
+            progress.snapshot_sent_at = None;
             if progress.next <= last {
                 self.send_entries(context, replica);
             }
             self.advance_commit(context);
         } else {
             let next = answer.position.min(last.next());
-            let is_news = next != progress.next || progress.is_following;
+            let has_changed = next != progress.next || progress.is_pipelining;
             progress.next = next.max(progress.matched.next());
-            progress.is_following = false;
-            if is_news {
+            progress.is_pipelining = false;
+            if has_changed {
                 self.send_entries(context, replica);
             }
         }
-        self.give_proofs(context);
+        self.release_confirmed(context);
     }
 
-    /// Commits what a majority of the voters keeps, if this leader's own term wrote it.
+    /// Commits up to the last position that a majority of voters has on disk, if that entry is of
+    /// the current term.
     pub(super) fn advance_commit(&mut self, context: &mut ReplicaContext) {
         let ReplicaRole::Leader(leader) = &self.role else {
             return;
         };
         let group = self.log.group();
-        let kept = |voter: &wire::GroupMember| {
-            if voter.replica == self.hard.replica {
-                return self.writes.synced();
+        let durable_position = |voter: &wire::GroupMember| {
+            if voter.replica == self.hard_state.replica {
+                return self.write_queue.synced();
             }
             let progress = leader.replicas.get(&voter.replica);
             progress.map_or(ids::LogPosition::default(), |progress| progress.matched)
         };
-        let mut positions: Vec<ids::LogPosition> = group.voters.iter().map(kept).collect();
+        let mut positions: Vec<ids::LogPosition> =
+            group.voters.iter().map(durable_position).collect();
         positions.sort_unstable_by(|one, other| other.cmp(one));
-        let Some(reached) = positions.get(group.majority() - 1).copied() else {
+        let Some(majority_position) = positions.get(group.majority() - 1).copied() else {
             return;
         };
-        if reached > self.commit && self.log.term_at(reached) == Some(self.hard.term) {
-            self.commit_to(context, reached);
-            if reached == self.log.last().position {
-                // No entry follows that would tell the others of the commit.
+        if majority_position > self.commit
+            && self.log.term_at(majority_position) == Some(self.hard_state.term)
+        {
+            self.commit_to(context, majority_position);
+            if majority_position == self.log.last().position {
+                // No further entry will carry the new commit position to the followers.
                 self.broadcast(context);
             }
-            self.leave_if_removed(context);
+            self.step_down_if_removed(context);
         }
     }
 
-    /// Applies entries up to a committed position and tells all that wait for them.
+    /// Applies entries up to a committed position and releases the answers that waited for them.
     pub(super) fn commit_to(&mut self, context: &mut ReplicaContext, position: ids::LogPosition) {
-        let kept = context.tunables().changes_kept as usize;
+        let max_accepted = context.tunables().changes_kept as usize;
         while self.commit < position {
-            let entry = self.apply_next(kept);
+            let entry = self.apply_next(max_accepted);
             if let wire::LogPayload::Change(change) = &entry.payload {
-                let committed = self.machine.committed_version(entry.term, change);
+                let committed = self.state_machine.committed_version(entry.term, change);
                 let follow_up = dissemination::DisseminationEvent::Committed(committed);
                 context
                     .output
@@ -392,24 +404,28 @@
             }
         }
         if let ReplicaRole::Leader(leader) = &mut self.role {
-            leader.answer_up_to(position, context);
+            leader.answer_committed(position, context);
         }
-        self.give_proofs(context);
-        let logged = position.0 - self.writes.snapshot.0;
-        if logged >= context.tunables().snapshot_entries {
+        self.release_confirmed(context);
+        let since_snapshot = position.0 - self.write_queue.snapshot_position.0;
+        if since_snapshot >= context.tunables().snapshot_entries {
             let snapshot = self.snapshot();
-            self.writes.keep_snapshot(snapshot);
+            self.write_queue.queue_snapshot(snapshot);
         }
         let trailing = context.tunables().trailing_entries;
-        let dropped = self.writes.snapshot.0.saturating_sub(trailing);
-        self.log.compact(ids::LogPosition(dropped));
+        let compact_to = self
+            .write_queue
+            .snapshot_position
+            .0
+            .saturating_sub(trailing);
+        self.log.compact(ids::LogPosition(compact_to));
     }
 
-    /// A leader that has committed its own removal leads no more.
-    fn leave_if_removed(&mut self, context: &mut ReplicaContext) {
+    /// Steps down once the removal of this replica from the voters is committed.
+    fn step_down_if_removed(&mut self, context: &mut ReplicaContext) {
         if !self.is_voter() && self.log.group_position() <= self.commit {
-            let term = self.hard.term;
-            self.follow(context, term);
+            let term = self.hard_state.term;
+            self.become_follower(context, term);
         }
     }
 }
--- a/crates/engine/src/replication/orders.rs
+++ b/crates/engine/src/replication/rollout_orders.rs
@@ -1,7 +1,7 @@
-//! Orders of roll-outs, and the phases that the leader writes.
+//! Roll-out orders of operators, and the phase transitions written by the leader.
 //!
-//! Only here an entry of a roll-out gets into the log: an order makes it, the leader moves it on,
-//! and each step names the order that it belongs to.
+//! Roll-out entries enter the log only from this module: an order creates the entry, the leader
+//! moves it through its phases, and each transition carries the catalogue version of its order.
 
 use hazeltiller_catalogue::{change, entry, rollout, state as catalogue_state};
 use hazeltiller_units::{code, ids};
@@ -10,24 +10,24 @@
 
 use super::{
     ChangeProposal, ReplicaContext, ReplicaRole, ReplicationState, RolloutTransition,
-    acceptance::{self, AcceptedProposal, Judgement, ProposalRefusal},
-    machine,
+    acceptance::{self, AcceptedProposal, ProposalRefusal, ValidProposal},
+    state_machine,
 };
 use crate::membership;
 
-/// Judges an operator's request about a roll-out by the state that the whole log leads to.
-pub(super) fn judge(
+/// Validates a roll-out request against the state at the end of the log.
+pub(super) fn validate(
     context: &ReplicaContext,
-    head: &machine::LogMachine,
+    head: &state_machine::StateMachine,
     proposal: &ChangeProposal,
     request: &rollout::RolloutRequest,
-) -> Result<Judgement, ProposalRefusal> {
+) -> Result<ValidProposal, ProposalRefusal> {
     let catalogue = &head.catalogue;
     acceptance::authorize(catalogue, proposal.author, &change::ChangeSet::default())?;
     let mut change_id = proposal.request.change_id.clone();
     if let Some(accepted) = head.accepted(&change_id) {
         return if accepted.content == proposal.content {
-            Ok(Judgement::Known(accepted.receipt.clone()))
+            Ok(ValidProposal::Resend(accepted.receipt.clone()))
         } else {
             Err(code::ResultCode::ChangeIdReused.into())
         };
@@ -36,14 +36,14 @@
         rollout::RolloutRequest::Start(order) => {
             let derived = change::ChangeRequest::rollout_order(order.clone()).change_id;
             if change_id == derived {
-                if let Some(receipt) = repeated(head, order, &derived) {
-                    return Ok(Judgement::Known(receipt));
+                if let Some(receipt) = resent_receipt(head, order, &derived) {
+                    return Ok(ValidProposal::Resend(receipt));
                 }
-                change_id = order_id(&derived, catalogue.version.next());
+                change_id = order_change_id(&derived, catalogue.version.next());
             }
-            start(context, catalogue, order)?
+            start_rollout(context, catalogue, order)?
         }
-        rollout::RolloutRequest::Abort(service) => abort(catalogue, service)?,
+        rollout::RolloutRequest::Abort(service) => abort_rollout(catalogue, service)?,
     };
     let set = change::ChangeSet {
         put: vec![entry::CatalogueEntry::Rollout(entry)],
@@ -52,7 +52,7 @@
     let operator = acceptance::authorize(catalogue, proposal.author, &set)?;
     let faults = catalogue.check(&set);
     match faults.first() {
-        None => Ok(Judgement::New(AcceptedProposal {
+        None => Ok(ValidProposal::New(AcceptedProposal {
             change_id,
             operator,
             set,
@@ -64,10 +64,10 @@
     }
 }
 
-/// The receipt of an order whose id stands for its content, where it is the service's latest one:
-/// then it was sent again. Once another order came in between it is a new one.
-fn repeated(
-    head: &machine::LogMachine,
+/// Returns the receipt of a resent order whose change id is derived from its content. It is a
+/// resend if the service has had no other order since; otherwise it is a new order.
+fn resent_receipt(
+    head: &state_machine::StateMachine,
     order: &rollout::RolloutOrder,
     derived: &ids::ChangeId,
 ) -> Option<change::ChangeReceipt> {
@@ -75,17 +75,18 @@
     if latest.to != order.to || latest.within_ms != order.within_ms {
         return None;
     }
-    let accepted = head.accepted(&order_id(derived, latest.order))?;
+    let accepted = head.accepted(&order_change_id(derived, latest.order))?;
     Some(accepted.receipt.clone())
 }
 
-/// Id by which an order is remembered whose own id stands for its content.
-fn order_id(derived: &ids::ChangeId, version: ids::CatalogueVersion) -> ids::ChangeId {
+/// Id under which an order with a derived change id is stored. The catalogue version makes it
+/// unique, since an order with the same content may be repeated later.
+fn order_change_id(derived: &ids::ChangeId, version: ids::CatalogueVersion) -> ids::ChangeId {
     let id = format!("{derived}-{version}");
-    id.parse().expect("digits and words make an id")
+    id.parse().expect("all characters are valid in a change id")
 }
 
-fn start(
+fn start_rollout(
     context: &ReplicaContext,
     catalogue: &catalogue_state::CatalogueState,
     order: &rollout::RolloutOrder,
@@ -96,9 +97,9 @@
     if latest.is_some_and(|latest| latest.phase.is_running()) {
         return Err(code::ResultCode::RolloutUnderWay.into());
     }
-    let versions = versions(context.membership, &order.service);
-    let is_there = versions.contains(&Some(order.to.clone()));
-    if is_there && versions.len() == 1 {
+    let versions = target_versions(context.membership, &order.service);
+    let is_announced = versions.contains(&Some(order.to.clone()));
+    if is_announced && versions.len() == 1 {
         return Err(code::ResultCode::RolloutNeedless.into());
     }
     let others = versions.into_iter().flatten();
@@ -117,7 +118,7 @@
     })
 }
 
-fn abort(
+fn abort_rollout(
     catalogue: &catalogue_state::CatalogueState,
     service: &ids::EntryName,
 ) -> Result<rollout::RolloutEntry, ProposalRefusal> {
@@ -128,8 +129,8 @@
     Ok(running.in_phase(rollout::RolloutPhase::RolledBack, 0, reason))
 }
 
-/// Versions of the known targets of a service; `None` stands for those that do not tell.
-fn versions(
+/// Software versions of a service's known targets; `None` for targets that announce none.
+fn target_versions(
     membership: &membership::MembershipState,
     service: &ids::EntryName,
 ) -> IndexSet<Option<ids::SoftwareVersion>> {
@@ -140,8 +141,8 @@
     of_service.map(|target| target.version.clone()).collect()
 }
 
-/// Checks that an operator's change leaves roll-outs alone: none is put, none under way removed.
-pub(super) fn check_untouched(
+/// Checks that an operator's change neither adds or modifies roll-outs nor removes a running one.
+pub(super) fn check_rollouts_unchanged(
     catalogue: &catalogue_state::CatalogueState,
     set: &change::ChangeSet,
 ) -> Result<(), ProposalRefusal> {
@@ -149,16 +150,16 @@
         Some(entry::CatalogueEntry::Rollout(latest)) => latest.phase.is_running(),
         _ => false,
     };
-    // A replacement keeps those of its services, as they are.
-    let is_foreign = |entry: &&entry::CatalogueEntry| {
+    // A replacement of the catalogue contains the unchanged roll-outs of the services it keeps.
+    let is_modified = |entry: &&entry::CatalogueEntry| {
         let entry::CatalogueEntry::Rollout(put) = entry else {
             return false;
         };
-        let present = catalogue.rollout(&put.name);
-        present.is_none_or(|present| (present.order, present.phase) != (put.order, put.phase))
+        let current = catalogue.rollout(&put.name);
+        current.is_none_or(|current| (current.order, current.phase) != (put.order, put.phase))
     };
     let removed = set.remove.iter().find(is_running).cloned();
-    let put = set.put.iter().find(is_foreign);
+    let put = set.put.iter().find(is_modified);
     let Some(key) = put.map(entry::CatalogueEntry::key).or(removed) else {
         return Ok(());
     };
@@ -176,25 +177,29 @@
 }
 
 impl ReplicationState {
-    /// Writes a roll-out's next phase, if it is still under way as the step took it to be.
-    pub(super) fn steer(&mut self, context: &mut ReplicaContext, step: RolloutTransition) {
-        let kept = context.tunables().changes_kept as usize;
-        let term = self.hard.term;
+    /// Appends a roll-out's next phase, unless the roll-out has changed since the decision.
+    pub(super) fn advance_rollout(
+        &mut self,
+        context: &mut ReplicaContext,
+        transition: RolloutTransition,
+    ) {
+        let max_accepted = context.tunables().changes_kept as usize;
+        let term = self.hard_state.term;
         let ReplicaRole::Leader(leader) = &mut self.role else {
             return;
         };
-        let next = step.entry;
-        let Some(present) = leader.head.catalogue.rollout(&next.name) else {
+        let next = transition.entry;
+        let Some(current) = leader.head.catalogue.rollout(&next.name) else {
             return;
         };
-        let is_due = present.order == next.order
-            && present.phase.is_running()
-            && present.phase != next.phase;
+        let is_due = current.order == next.order
+            && current.phase.is_running()
+            && current.phase != next.phase;
         if !is_due {
             return;
         }
         let id = format!("rollout-{}-{}", next.order, next.phase);
-        let change_id: ids::ChangeId = id.parse().expect("digits and words make an id");
+        let change_id: ids::ChangeId = id.parse().expect("all characters are valid in a change id");
         let ordered = leader.head.accepted_version(next.order);
         let set = change::ChangeSet {
             put: vec![entry::CatalogueEntry::Rollout(next)],
@@ -203,18 +208,18 @@
         let change = wire::LoggedChange {
             content: change::set_digest(&set),
             change_id,
-            accepted_at_ms: ordered.map_or(0, |at| at + step.elapsed.as_millis() as u64),
+            accepted_at_ms: ordered.map_or(0, |at| at + transition.elapsed.as_millis() as u64),
             operator: None,
             set,
             revision: None,
         };
-        leader.head.apply(term, &change, kept);
-        self.write(context, wire::LogPayload::Change(change));
+        leader.head.apply(term, &change, max_accepted);
+        self.append_and_replicate(context, wire::LogPayload::Change(change));
     }
 }
 
-/// Orders of the roll-outs that entries of a log begin or move on.
-pub(super) fn orders_in(entries: &[wire::LogEntry]) -> IndexSet<ids::CatalogueVersion> {
+/// Catalogue versions of the orders whose roll-outs appear in log entries.
+pub(super) fn rollout_orders_in(entries: &[wire::LogEntry]) -> IndexSet<ids::CatalogueVersion> {
     let changes = entries.iter().filter_map(|entry| match &entry.payload {
         wire::LogPayload::Change(change) => Some(&change.set.put),
         _ => None,
--- a/crates/engine/src/replication/machine.rs
+++ b/crates/engine/src/replication/state_machine.rs
@@ -1,4 +1,4 @@
-//! What the entries of the log lead to: the catalogue and the changes remembered for resends.
+//! The replicated state machine: the catalogue, and the accepted changes stored for resends.
 
 use std::collections::VecDeque;
 
@@ -9,43 +9,43 @@
 
 use crate::dissemination;
 
-/// The state that entries are applied to, in order.
+/// State that results from applying log entries in order.
 #[derive(Debug, Clone, Default)]
-pub(super) struct LogMachine {
+pub(super) struct StateMachine {
     pub(super) catalogue: catalogue_state::CatalogueState,
-    /// What the last replacement of the whole catalogue left.
+    /// The revision set by the last replacement of the whole catalogue.
     pub(super) revision: change::CatalogueRevision,
     accepted: IndexMap<ids::ChangeId, wire::AcceptedChange>,
-    order: VecDeque<ids::ChangeId>,
+    acceptance_order: VecDeque<ids::ChangeId>,
 }
 
-impl LogMachine {
-    /// The state that a snapshot holds.
+impl StateMachine {
+    /// Restores the state from a snapshot.
     pub(super) fn restore(snapshot: &wire::LogSnapshot) -> Self {
-        let mut machine = Self {
+        let mut state_machine = Self {
             catalogue: snapshot.catalogue.clone(),
             revision: snapshot.revision.clone(),
             ..Self::default()
         };
         for accepted in &snapshot.accepted {
-            machine.remember(accepted.clone(), usize::MAX);
+            state_machine.store_accepted(accepted.clone(), usize::MAX);
         }
-        machine
+        state_machine
     }
 
-    /// Applies a change of a leader, which has checked it; at most `kept` are remembered.
+    /// Applies a change that its leader has validated. Keeps at most `kept` accepted changes.
     pub(super) fn apply(
         &mut self,
         term: ids::LeaderTerm,
         change: &wire::LoggedChange,
-        kept: usize,
+        max_accepted: usize,
     ) -> change::ChangeReceipt {
         self.catalogue.advance(&change.set, term);
         if let Some(revision) = &change.revision {
             let unpacked = document::unpack(&revision.document, &self.revision.document);
             self.revision = change::CatalogueRevision {
                 label: revision.label,
-                document: unpacked.expect("the leader packed it against the same document"),
+                document: unpacked.expect("the document is packed against the previous revision"),
             };
         }
         let receipt = change::ChangeReceipt {
@@ -58,11 +58,11 @@
             content: change.content,
             operator: change.operator.clone(),
         };
-        self.remember(accepted, kept);
+        self.store_accepted(accepted, max_accepted);
         receipt
     }
 
-    /// The version that the last change made, as dissemination takes it.
+    /// Returns the version made by the last applied change, for dissemination to the nodes.
     pub(super) fn committed_version(
         &self,
         term: ids::LeaderTerm,
@@ -79,25 +79,27 @@
         }
     }
 
-    /// The change of an id, if it is remembered.
+    /// The accepted change with an id, if it is still stored.
     pub(super) fn accepted(&self, id: &ids::ChangeId) -> Option<&wire::AcceptedChange> {
         self.accepted.get(id)
     }
 
-    /// When the change that made a version was accepted, in milliseconds since 1970, if it is
-    /// remembered.
+    /// Acceptance time of the change that made a version, in milliseconds since the Unix epoch, if
+    /// it is still stored.
     pub(super) fn accepted_version(&self, version: ids::CatalogueVersion) -> Option<u64> {
         let mut history = self.history().map(|accepted| &accepted.receipt);
         let receipt = history.find(|receipt| receipt.version == version)?;
         Some(receipt.accepted_at_ms)
     }
 
-    /// Changes that are remembered, oldest first.
+    /// The stored accepted changes, oldest first.
     pub(super) fn history(&self) -> impl Iterator<Item = &wire::AcceptedChange> {
-        self.order.iter().filter_map(|id| self.accepted.get(id))
+        self.acceptance_order
+            .iter()
+            .filter_map(|id| self.accepted.get(id))
     }
 
-    /// The snapshot of this state.
+    /// Takes a snapshot of this state.
     pub(super) fn snapshot(
         &self,
         mark: wire::LogMark,
@@ -112,12 +114,12 @@
         }
     }
 
-    fn remember(&mut self, accepted: wire::AcceptedChange, kept: usize) {
+    fn store_accepted(&mut self, accepted: wire::AcceptedChange, max_accepted: usize) {
         let id = accepted.receipt.change_id.clone();
         self.accepted.insert(id.clone(), accepted);
-        self.order.push_back(id);
-        while self.order.len() > kept {
-            if let Some(oldest) = self.order.pop_front() {
+        self.acceptance_order.push_back(id);
+        while self.acceptance_order.len() > max_accepted {
+            if let Some(oldest) = self.acceptance_order.pop_front() {
                 self.accepted.swap_remove(&oldest);
             }
         }
--- a/crates/engine/src/replication/store_failure.rs
+++ b/crates/engine/src/replication/store_failure.rs
@@ -1,8 +1,9 @@
-//! A replica whose disk has refused a write, until the disk holds everything again.
+//! Recovery of a replica after a failed write or sync.
 //!
-//! Nothing rests on what a failed sync has left: all that the disk must keep is in memory, it is
-//! written anew as one whole, and until that is kept the replica neither says nor answers anything.
-//! So it may go on as what it was, without a restart and without a loss.
+//! After a failed sync the state of the disk is unknown. All that must be durable is still in
+//! memory, so it is written again as one full batch. Until that batch is synced the replica sends
+//! no message and rejects every request. It can then continue in its group without a restart and
+//! without data loss.
 
 use hazeltiller_units::code;
 
@@ -10,49 +11,49 @@
 use crate::{event, failed_store, settings};
 
 impl ReplicationState {
-    /// Whether the store keeps nothing at the moment.
+    /// Whether the store has failed and its full rewrite is not synced yet.
     pub(super) fn has_failed(&self) -> bool {
-        self.failure.is_some()
+        self.store_failure.is_some()
     }
 
-    /// The disk has refused: nothing is said or answered until it has taken everything anew, so that
-    /// others take over. What was said before rests on what it keeps.
-    pub(super) fn fail(&mut self, context: &mut ReplicaContext) {
+    /// Handles a failed write: steps down and falls silent, so that other replicas can take over.
+    /// All earlier messages are still covered by what is on disk.
+    pub(super) fn handle_store_failure(&mut self, context: &mut ReplicaContext) {
         let is_first = !self.has_failed();
         let period = settings::millis(context.tunables().rewrite_ms);
-        self.failure = Some(failed_store::FailedStore::new(context.now, period));
+        self.store_failure = Some(failed_store::FailedStore::new(context.now, period));
         if !is_first {
             return;
         }
-        self.writes.abandon();
-        let term = self.hard.term;
-        self.follow(context, term);
+        self.write_queue.clear();
+        let term = self.hard_state.term;
+        self.become_follower(context, term);
         self.leader = None;
-        self.leader_heard = None;
-        self.proven = None;
+        self.leader_heard_at = None;
+        self.proven_at = None;
         let message = "this control takes no part in its group until the disk takes writes";
         context.report(code::ResultCode::StoreFailed, message.into());
     }
 
-    /// Gives a disk that has refused everything anew: the state that is committed, the log behind it,
-    /// term and vote. Nothing of these changes while the store has failed.
-    pub(super) fn tick_store(&mut self, context: &mut ReplicaContext) {
-        let Some(mut failure) = self.failure else {
+    /// Retries a failed store with a full rewrite: a snapshot of the committed state, the
+    /// uncommitted entries and the hard state. None of these change while the store has failed.
+    pub(super) fn tick_store_recovery(&mut self, context: &mut ReplicaContext) {
+        let Some(mut failure) = self.store_failure else {
             return;
         };
         if !failure.is_due(context.now) {
             return;
         }
-        self.hard.commit = self.commit;
+        self.hard_state.commit = self.commit;
         let batch = persist::PersistBatch {
             is_full_rewrite: true,
-            hard: Some(self.hard),
-            entries: self.log.slice_all(self.commit.next()),
+            hard: Some(self.hard_state),
+            entries: self.log.slice_from(self.commit.next()),
             snapshot: Some(Box::new(self.snapshot())),
-            ..self.writes.next_batch()
+            ..self.write_queue.next_batch()
         };
         failure.give(batch.batch);
-        self.failure = Some(failure);
+        self.store_failure = Some(failure);
         let effect = ReplicationEffect::Persist(Box::new(batch));
         context
             .output
@@ -60,11 +61,12 @@
             .push(event::Effect::Replication(effect));
     }
 
-    /// The disk holds everything again: the replica is what it was when the disk refused.
-    pub(super) fn store_returned(&mut self, context: &mut ReplicaContext) {
-        self.failure = None;
-        self.writes.resume(self.log.last().position, self.commit);
-        self.reset_election(context);
+    /// Resumes after the full rewrite is synced, with the state from before the failure.
+    pub(super) fn handle_store_recovered(&mut self, context: &mut ReplicaContext) {
+        self.store_failure = None;
+        self.write_queue
+            .resume(self.log.last().position, self.commit);
+        self.schedule_election(context);
         let message = "this control takes part in its group again";
         context.report(code::ResultCode::StoreReturned, message.into());
     }
--- a/crates/engine/src/replication/view.rs
+++ b/crates/engine/src/replication/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the log.
+//! Status of the control group for operators and metrics.
 
 use std::net::SocketAddr;
 
@@ -9,47 +9,48 @@
 use super::{ReplicaRole, ReplicationState};
 use crate::{reducer, settings};
 
-/// A voter or a learner as this replica sees it.
+/// A voter or learner, as seen by this replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterView {
-    /// Its instance.
+    /// Name of its instance.
     pub instance: Option<ids::InstanceName>,
-    /// Its durable state.
+    /// Its id, which identifies its data folder.
     pub replica: ids::ReplicaId,
     /// Its peers address.
     pub address: SocketAddr,
-    /// Whether it has a vote.
+    /// Whether it is a voter rather than a learner.
     pub is_voter: bool,
-    /// Up to where it keeps the log; only a leader knows.
+    /// Last log position on its disk; known only to the leader.
     pub matched: Option<ids::LogPosition>,
-    /// Whether it has answered within an election timeout; only a leader knows.
+    /// Whether it has answered within an election timeout; known only to the leader.
     pub is_alive: Option<bool>,
 }
 
-/// The group as this replica sees it.
+/// The group, as seen by this replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupView {
-    /// This replica.
+    /// Id of this replica.
     pub replica: ids::ReplicaId,
     /// `leader`, `follower`, `candidate`, `learner` or `forming`.
     pub role: String,
-    /// The leader's peers address, where one is known.
+    /// Peers address of the leader, if one is known.
     pub leader: Option<SocketAddr>,
-    /// Latest term.
+    /// Current term.
     pub term: ids::LeaderTerm,
-    /// End of the log.
+    /// Last log position.
     pub last: ids::LogPosition,
-    /// Committed up to here.
+    /// Last committed position.
     pub commit: ids::LogPosition,
-    /// Whether a majority was heard within an election timeout.
+    /// Whether this replica has heard from a majority within an election timeout and holds all that
+    /// was committed then.
     pub is_proven_current: bool,
-    /// Whether the store has failed.
+    /// Whether the store has failed and is not yet rewritten.
     pub has_failed: bool,
-    /// Voters, then the learners that the leader has met.
+    /// The voters, then the learners known to the leader.
     pub members: Vec<VoterView>,
 }
 
-/// Role word of a leader in [`GroupView::role`].
+/// Value of [`GroupView::role`] for the leader.
 pub const LEADER_ROLE: &str = "leader";
 
 impl VoterView {
@@ -65,33 +66,33 @@
 }
 
 impl GroupView {
-    /// Voters that have answered the leader within an election timeout, itself included; 0 unless
-    /// this replica leads.
+    /// Number of voters that have answered the leader within an election timeout, including the
+    /// leader; 0 if this replica does not lead.
     pub fn alive_voters(&self) -> usize {
         let voters = self.members.iter();
         voters.filter(|voter| voter.is_answering()).count()
     }
 
-    /// Voters that a commit needs.
+    /// Number of voters that form a majority.
     pub fn majority(&self) -> usize {
         let voters = self.members.iter().filter(|member| member.is_voter).count();
         voters / 2 + 1
     }
 
-    /// The view of a process; `None` without the control role.
+    /// Returns the view of a process; `None` without the control role.
     pub fn of(state: &reducer::EngineState) -> Option<Self> {
         let replication = state.replication.as_ref()?;
         let own = state.settings.identity.address;
         let is_leader = matches!(replication.role, ReplicaRole::Leader(_));
         Some(Self {
-            replica: replication.hard.replica,
-            role: replication.role_word().into(),
+            replica: replication.hard_state.replica,
+            role: replication.role_name().into(),
             leader: if is_leader {
                 Some(own)
             } else {
                 replication.leader
             },
-            term: replication.hard.term,
+            term: replication.hard_state.term,
             last: replication.log.last().position,
             commit: replication.commit,
             is_proven_current: super::is_proven_current(state),
@@ -102,32 +103,33 @@
 }
 
 impl ReplicationState {
-    /// Accepted changes that are remembered, oldest first.
+    /// The accepted changes stored for resends, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &wire::AcceptedChange> {
-        self.machine.history()
+        self.state_machine.history()
     }
 
-    /// The accepted change of an id, if it is remembered.
+    /// The accepted change with an id, if it is still stored.
     pub fn accepted(&self, id: &ids::ChangeId) -> Option<&wire::AcceptedChange> {
-        self.machine.accepted(id)
+        self.state_machine.accepted(id)
     }
 
-    /// Peers address of another replica that leads, as far as was heard within an election timeout.
+    /// Peers address of the current leader if it is another replica and was heard from within an
+    /// election timeout.
     pub fn live_leader(&self, state: &reducer::EngineState) -> Option<SocketAddr> {
         let period = settings::millis(state.settings.tunables.replication.election_ms);
-        let heard = self.leader_heard?;
-        let is_alive = state.now.since(heard) < period;
+        let heard_at = self.leader_heard_at?;
+        let is_alive = state.now.since(heard_at) < period;
         self.leader.filter(|_| is_alive)
     }
 
-    /// This replica's durable id.
+    /// Id of this replica.
     pub fn replica(&self) -> ids::ReplicaId {
-        self.hard.replica
+        self.hard_state.replica
     }
 
-    /// Whether this replica leads, and in which term.
+    /// The current term if this replica leads.
     pub fn leading_term(&self) -> Option<ids::LeaderTerm> {
-        matches!(self.role, ReplicaRole::Leader(_)).then_some(self.hard.term)
+        matches!(self.role, ReplicaRole::Leader(_)).then_some(self.hard_state.term)
     }
 
     /// Committed entries that are still in memory.
@@ -136,7 +138,7 @@
         (first..=self.commit.0).filter_map(|position| self.log.get(ids::LogPosition(position)))
     }
 
-    fn role_word(&self) -> &'static str {
+    fn role_name(&self) -> &'static str {
         match (&self.role, self.standing()) {
             (ReplicaRole::Leader(_), _) => LEADER_ROLE,
             (_, wire::ReplicaStanding::Forming) => "forming",
@@ -154,13 +156,13 @@
             return members;
         };
         for member in &mut members {
-            if member.replica == self.hard.replica {
-                member.matched = Some(self.writes.synced());
+            if member.replica == self.hard_state.replica {
+                member.matched = Some(self.write_queue.synced());
                 member.is_alive = Some(true);
             }
         }
         for (replica, progress) in &leader.replicas {
-            let is_alive = Some(state.now.since(progress.heard) < period);
+            let is_alive = Some(state.now.since(progress.heard_at) < period);
             let matched = Some(progress.matched);
             let known = members.iter_mut().find(|one| one.replica == *replica);
             match known {
--- a/crates/engine/src/replication/window.rs
+++ b/crates/engine/src/replication/window.rs
@@ -1,54 +1,55 @@
-//! The part of the log that is held in memory, and the voters that it names.
+//! The in-memory part of the log, and the voter configurations that it contains.
 
 use std::collections::VecDeque;
 
 use hazeltiller_units::ids;
 use hazeltiller_wire::{codec, replication as wire};
 
-/// Bytes of entries in one message, but for the last entry: with the largest change that an
-/// operator can send a message stays far below [`codec::LARGEST_FRAME`].
-const MESSAGE_BYTES: usize = 4 << 20;
+/// Soft limit for the entries in one message; only the last entry may exceed it. Together with the
+/// largest change that an operator can send, a message stays well below [`codec::LARGEST_FRAME`].
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// An entry with its size in a message.
+/// An entry with its encoded size.
 #[derive(Debug, Clone)]
-struct HeldEntry {
+struct SizedEntry {
     entry: wire::LogEntry,
     bytes: usize,
 }
 
-/// Entries after a base, without gaps.
+/// Consecutive entries after a base position.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LogWindow {
     base: wire::LogMark,
-    entries: VecDeque<HeldEntry>,
-    /// Voters by the position from which they count; the first counts at the base.
+    entries: VecDeque<SizedEntry>,
+    /// Voter configurations with the position from which each applies; the first applies at the
+    /// base.
     groups: Vec<(ids::LogPosition, wire::ControlGroup)>,
-    none: wire::ControlGroup,
+    no_group: wire::ControlGroup,
 }
 
 impl LogWindow {
-    /// A window that starts behind a snapshot.
+    /// Creates an empty window that starts after a snapshot.
     pub(super) fn after(mark: wire::LogMark, group: wire::ControlGroup) -> Self {
         Self {
             base: mark,
             entries: VecDeque::new(),
             groups: vec![(mark.position, group)],
-            none: wire::ControlGroup::default(),
+            no_group: wire::ControlGroup::default(),
         }
     }
 
-    /// The end of the log.
+    /// Term and position of the last entry.
     pub(super) fn last(&self) -> wire::LogMark {
         let last = self.entries.back();
-        last.map_or(self.base, |held| held.entry.mark())
+        last.map_or(self.base, |sized| sized.entry.mark())
     }
 
-    /// The place before the first entry held.
+    /// Term and position of the last entry before the window.
     pub(super) fn base(&self) -> wire::LogMark {
         self.base
     }
 
-    /// Term of the entry at a position, where that is still known.
+    /// Term of the entry at a position, if the window covers it.
     pub(super) fn term_at(&self, position: ids::LogPosition) -> Option<ids::LeaderTerm> {
         if position == self.base.position {
             return Some(self.base.term);
@@ -59,79 +60,86 @@
     /// The entry at a position.
     pub(super) fn get(&self, position: ids::LogPosition) -> Option<&wire::LogEntry> {
         let index = position.0.checked_sub(self.base.position.0 + 1)?;
-        self.entries.get(index as usize).map(|held| &held.entry)
+        self.entries.get(index as usize).map(|sized| &sized.entry)
     }
 
-    /// Entries from a position on that fit a message: at most `limit`, at least one if there is one.
-    pub(super) fn slice(&self, from: ids::LogPosition, limit: usize) -> Vec<wire::LogEntry> {
+    /// Entries from a position on, at most `limit` and only as many as fit in a message, but at
+    /// least one if any exists.
+    pub(super) fn slice_for_message(
+        &self,
+        from: ids::LogPosition,
+        limit: usize,
+    ) -> Vec<wire::LogEntry> {
         let skipped = from.0.saturating_sub(self.base.position.0 + 1) as usize;
         let mut bytes = 0;
-        let fits = |held: &&HeldEntry| {
+        let fits = |sized: &&SizedEntry| {
             let is_first = bytes == 0;
-            bytes += held.bytes;
-            is_first || bytes <= MESSAGE_BYTES
+            bytes += sized.bytes;
+            is_first || bytes <= MAX_MESSAGE_BYTES
         };
-        let wanted = self
+        let selected = self
             .entries
             .iter()
             .skip(skipped)
             .take(limit)
             .take_while(fits);
-        wanted.map(|held| held.entry.clone()).collect()
+        selected.map(|sized| sized.entry.clone()).collect()
     }
 
     /// All entries from a position on.
-    pub(super) fn slice_all(&self, from: ids::LogPosition) -> Vec<wire::LogEntry> {
+    pub(super) fn slice_from(&self, from: ids::LogPosition) -> Vec<wire::LogEntry> {
         let skipped = from.0.saturating_sub(self.base.position.0 + 1) as usize;
-        let wanted = self.entries.iter().skip(skipped);
-        wanted.map(|held| held.entry.clone()).collect()
+        let selected = self.entries.iter().skip(skipped);
+        selected.map(|sized| sized.entry.clone()).collect()
     }
 
-    /// Puts an entry at the end.
+    /// Appends an entry.
     pub(super) fn append(&mut self, entry: wire::LogEntry) {
         assert_eq!(
             entry.position,
             self.last().position.next(),
-            "a log has no gaps"
+            "log positions must be consecutive"
         );
         if let wire::LogPayload::Group(group) = &entry.payload {
             self.groups.push((entry.position, group.clone()));
         }
         let bytes = codec::encoded_size(&entry);
-        self.entries.push_back(HeldEntry { entry, bytes });
+        self.entries.push_back(SizedEntry { entry, bytes });
     }
 
-    /// Drops the entry at a position and all after it.
+    /// Removes the entry at a position and all after it.
     pub(super) fn truncate(&mut self, from: ids::LogPosition) {
-        let kept = from.0.saturating_sub(self.base.position.0 + 1);
-        self.entries.truncate(kept as usize);
+        let remaining = from.0.saturating_sub(self.base.position.0 + 1);
+        self.entries.truncate(remaining as usize);
         self.groups.retain(|(position, _)| *position < from);
     }
 
-    /// Drops entries up to a position, which becomes the base.
+    /// Removes entries up to a position, which becomes the base.
     pub(super) fn compact(&mut self, position: ids::LogPosition) {
         while self.base.position < position {
-            let Some(held) = self.entries.pop_front() else {
+            let Some(sized) = self.entries.pop_front() else {
                 return;
             };
-            self.base = held.entry.mark();
+            self.base = sized.entry.mark();
         }
-        let counts = self.groups.partition_point(|(from, _)| *from <= position);
-        self.groups.drain(..counts.saturating_sub(1));
+        let earlier = self.groups.partition_point(|(from, _)| *from <= position);
+        self.groups.drain(..earlier.saturating_sub(1));
     }
 
-    /// The voters in force: those that the latest entry about them names, committed or not.
+    /// The latest voter configuration, which applies as soon as it is in the log, committed or not.
     pub(super) fn group(&self) -> &wire::ControlGroup {
-        self.groups.last().map_or(&self.none, |(_, group)| group)
+        self.groups
+            .last()
+            .map_or(&self.no_group, |(_, group)| group)
     }
 
-    /// The voters at a position that is held.
+    /// The voter configuration at a position in the window.
     pub(super) fn group_at(&self, position: ids::LogPosition) -> &wire::ControlGroup {
-        let counts = self.groups.iter().rev().find(|(from, _)| *from <= position);
-        counts.map_or(&self.none, |(_, group)| group)
+        let earlier = self.groups.iter().rev().find(|(from, _)| *from <= position);
+        earlier.map_or(&self.no_group, |(_, group)| group)
     }
 
-    /// Position of the latest entry about voters.
+    /// Position of the latest voter configuration.
     pub(super) fn group_position(&self) -> ids::LogPosition {
         self.groups
             .last()
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -285,8 +285,8 @@
             entry: next.with_old_versions(seen_versions(state, &entry.name)),
             elapsed,
         };
-        let steer = replication::ReplicationEvent::AdvanceRollout(Box::new(step));
-        output.follow(event::Event::Replication(steer));
+        let advance = replication::ReplicationEvent::AdvanceRollout(Box::new(step));
+        output.follow(event::Event::Replication(advance));
     }
 }
 
