--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -210,7 +210,7 @@
             dissemination::DisseminationEffect::InForce { state } => {
                 self.outlets.in_force.send_replace(state);
             }
-            dissemination::DisseminationEffect::Unsound { .. }
+            dissemination::DisseminationEffect::InvalidUpdate { .. }
             | dissemination::DisseminationEffect::ParentLost { .. } => {}
         }
     }
--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -62,7 +62,7 @@
     let in_force = metrics.nodes_in_force.with_label_values(&NO_LABELS);
     in_force.set(view.nodes_in_force as i64);
     metrics.convergence.reset();
-    if let Some((accepted, everywhere)) = view.accepted_at_ms.zip(view.everywhere_at_ms) {
+    if let Some((accepted, everywhere)) = view.accepted_at_ms.zip(view.in_force_everywhere_at_ms) {
         let took = metrics.convergence.with_label_values(&NO_LABELS);
         took.set(everywhere.saturating_sub(accepted) as i64);
     }
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -136,7 +136,7 @@
                     digest: state.digest,
                 });
             }
-            event::Effect::Dissemination(dissemination::DisseminationEffect::Unsound {
+            event::Effect::Dissemination(dissemination::DisseminationEffect::InvalidUpdate {
                 from,
                 held,
             }) => self.timeline.note(TimelineEvent::VersionRefused {
@@ -149,7 +149,7 @@
                 reason,
             }) => self.timeline.note(TimelineEvent::ParentLost {
                 parent: *address,
-                reason: reason.word().into(),
+                reason: reason.as_str().into(),
             }),
             event::Effect::Membership(membership::MembershipEffect::Withdraw(target)) => {
                 let target = target.clone();
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -63,9 +63,9 @@
             suspected: count(reach::Reachability::Suspected),
             unreachable: count(reach::Reachability::Unreachable),
             ready: dissemination::is_ready(state),
-            waiting: state.dissemination.floor.waiting(state),
+            waiting: state.dissemination.floor.waiting_reason(state),
             parent: parent.address.filter(|_| parent.is_adopted),
-            depth: dissemination::parent::own_path(state).len(),
+            depth: dissemination::parent::path_from_control(state).len(),
             children: state.dissemination.children.len(),
             bytes,
             others,
@@ -153,7 +153,7 @@
             accepted_at_ms: view.accepted_at_ms,
             nodes_known: view.nodes_known,
             nodes_in_force: view.nodes_in_force,
-            in_force_everywhere_at_ms: view.everywhere_at_ms,
+            in_force_everywhere_at_ms: view.in_force_everywhere_at_ms,
             behind: behind.collect(),
         }
     }
--- a/crates/engine/src/dissemination.rs
+++ b/crates/engine/src/dissemination.rs
@@ -51,7 +51,7 @@
         state: Arc<catalogue_state::CatalogueState>,
     },
     /// A delta or snapshot was not what its digest promises; a snapshot is asked for.
-    Unsound {
+    InvalidUpdate {
         /// Who sent it.
         from: ids::InstanceName,
         /// Version in force here.
@@ -201,7 +201,7 @@
 }
 
 /// Takes an event of dissemination.
-pub fn take(
+pub fn handle_event(
     state: &mut reducer::EngineState,
     event: DisseminationEvent,
     output: &mut event::ReducerOutput,
--- a/crates/engine/src/dissemination/convergence.rs
+++ b/crates/engine/src/dissemination/convergence.rs
@@ -73,7 +73,7 @@
     /// Nodes that have it or a later version in force.
     pub nodes_in_force: usize,
     /// When it was in force at all nodes known then, in milliseconds since 1970.
-    pub everywhere_at_ms: Option<u64>,
+    pub in_force_everywhere_at_ms: Option<u64>,
     /// The other nodes.
     pub behind: Vec<BehindNode>,
 }
@@ -215,7 +215,7 @@
         accepted_at_ms: None,
         nodes_known: 0,
         nodes_in_force: 0,
-        everywhere_at_ms: None,
+        in_force_everywhere_at_ms: None,
         behind: Vec::new(),
     };
     for record in nodes {
@@ -240,7 +240,7 @@
             accepted.accepted_at_ms + everywhere.since(accepted.committed).as_millis() as u64
         };
         view.accepted_at_ms = Some(accepted.accepted_at_ms);
-        view.everywhere_at_ms = accepted.everywhere.map(took);
+        view.in_force_everywhere_at_ms = accepted.everywhere.map(took);
     }
     Some(view)
 }
--- a/crates/engine/src/dissemination/feed.rs
+++ b/crates/engine/src/dissemination/feed.rs
@@ -94,9 +94,9 @@
 fn may_adopt(state: &reducer::EngineState, from: &wire_membership::PeerIdentity) -> bool {
     let dissemination = &state.dissemination;
     let is_own_parent = dissemination.parent.address == Some(from.address);
-    let own_path = parent::own_path(state);
-    let is_above = own_path.contains(&parent::path_mark(&from.instance));
-    if own_path.is_empty() || is_own_parent || is_above || !from.is_node {
+    let path_from_control = parent::path_from_control(state);
+    let is_above = path_from_control.contains(&parent::path_mark(&from.instance));
+    if path_from_control.is_empty() || is_own_parent || is_above || !from.is_node {
         return false;
     }
     let tunables = &state.settings.tunables.dissemination;
@@ -184,7 +184,7 @@
     let child = state.dissemination.children.get(&to);
     let mark = wire::ParentMark {
         held: dissemination::short_mark(state),
-        path: parent::own_path(state),
+        path: parent::path_from_control(state),
         wants_roster: child.is_some_and(|child| !child.has_roster()),
     };
     dissemination::send(output, to, wire::DisseminationMessage::Parent(mark));
--- a/crates/engine/src/dissemination/floor.rs
+++ b/crates/engine/src/dissemination/floor.rs
@@ -56,7 +56,7 @@
     }
 
     /// Why nothing is in force yet; `None` when something is.
-    pub fn waiting(&self, state: &reducer::EngineState) -> Option<String> {
+    pub fn waiting_reason(&self, state: &reducer::EngineState) -> Option<String> {
         let centre = &state.settings.identity.data_centre;
         if self.is_met(state) {
             return None;
--- a/crates/engine/src/dissemination/parent.rs
+++ b/crates/engine/src/dissemination/parent.rs
@@ -48,7 +48,7 @@
 
 impl LeaveReason {
     /// The word in logs and status.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Silent => "silent",
             Self::LinkLost => "link-lost",
@@ -84,7 +84,7 @@
 }
 
 /// Processes from a control down to this one; empty without a way to a control.
-pub fn own_path(state: &reducer::EngineState) -> Vec<u32> {
+pub fn path_from_control(state: &reducer::EngineState) -> Vec<u32> {
     let own = path_mark(&state.settings.identity.instance);
     if state.settings.identity.is_control {
         return vec![own];
--- a/crates/engine/src/dissemination/version.rs
+++ b/crates/engine/src/dissemination/version.rs
@@ -163,7 +163,7 @@
     from: &wire_membership::PeerIdentity,
     output: &mut event::ReducerOutput,
 ) {
-    let effect = dissemination::DisseminationEffect::Unsound {
+    let effect = dissemination::DisseminationEffect::InvalidUpdate {
         from: from.instance.clone(),
         held: state.dissemination.version(),
     };
--- a/crates/engine/src/reducer.rs
+++ b/crates/engine/src/reducer.rs
@@ -124,7 +124,7 @@
             dissemination::link_lost(state, address, output);
         }
         event::Event::Replication(event) => replication::take(state, event, output),
-        event::Event::Dissemination(event) => dissemination::take(state, event, output),
+        event::Event::Dissemination(event) => dissemination::handle_event(state, event, output),
         event::Event::Membership(event) => membership::take(state, event, output),
         event::Event::Calls(event) => calls::take(state, event, output),
         event::Event::Ledger(event) => ledger::take(state, event, output),
--- a/crates/engine/tests/dissemination.rs
+++ b/crates/engine/tests/dissemination.rs
@@ -84,7 +84,7 @@
     for name in &names {
         let state = &fleet.processes[name].state;
         assert!(state.dissemination.parent.is_adopted, "{name} has a parent");
-        assert!(!dissemination::parent::own_path(state).is_empty());
+        assert!(!dissemination::parent::path_from_control(state).is_empty());
     }
 }
 
@@ -227,12 +227,12 @@
         .map(|node| node.instance.as_str())
         .collect();
     assert_eq!(behind, [relay.as_str()], "it is named, and nobody else");
-    assert_eq!(view.everywhere_at_ms, None);
+    assert_eq!(view.in_force_everywhere_at_ms, None);
     fleet.cut(|_, _| false);
     let everywhere = fleet.run_until(LONG, |fleet| {
         let state = &fleet.processes["c-0"].state;
         let view = convergence::view(state, fleet.accepted.version);
-        view.is_some_and(|view| view.everywhere_at_ms.is_some() && view.behind.is_empty())
+        view.is_some_and(|view| view.in_force_everywhere_at_ms.is_some() && view.behind.is_empty())
     });
     assert!(everywhere, "all controls' reports add up again");
 }
@@ -316,7 +316,11 @@
     let state = &fleet.processes[&name].state;
     assert_eq!(state.dissemination.version(), ids::CatalogueVersion(0));
     assert!(!dissemination::is_ready(state));
-    let reason = state.dissemination.floor.waiting(state).expect("it waits");
+    let reason = state
+        .dissemination
+        .floor
+        .waiting_reason(state)
+        .expect("it waits");
     assert!(reason.contains("no control answers"), "{reason}");
     // The stale control alone may not end the wait.
     fleet.accept(entries::put_slots("registru", 4), &["c-0", "c-2"]);
@@ -328,7 +332,11 @@
     fleet.run(Duration::from_secs(20));
     let state = &fleet.processes[&name].state;
     assert_eq!(state.dissemination.version(), ids::CatalogueVersion(0));
-    let reason = state.dissemination.floor.waiting(state).expect("it waits");
+    let reason = state
+        .dissemination
+        .floor
+        .waiting_reason(state)
+        .expect("it waits");
     assert!(reason.contains("majority"), "{reason}");
     fleet.cut(|_, _| false);
     assert_settles(&mut fleet, &names, LONG);
