--- a/crates/engine/src/dissemination.rs
+++ b/crates/engine/src/dissemination.rs
@@ -1,12 +1,14 @@
-//! The catalogue's way from the control group to every node, and the version in force here.
+//! Distributes the catalogue from the control group to every node, and holds the version in force
+//! on this process.
 //!
-//! Nodes form a relay tree below the controls; each change goes down it once, reports of what is
-//! in force add up on the way back. Beside the tree, gossip tells everybody's version, so that a
-//! node whose parent is silent or stale takes the missing part from another. A version is built
-//! aside, proven by its digest and then swapped in whole; an older one is never taken.
+//! Nodes form a relay tree below the controls. Each change travels down the tree once, and reports
+//! of the versions in force are aggregated on the way back up. Independently of the tree, gossip
+//! advertises the version of every process, so that a node whose parent is silent or stale can pull
+//! missing versions from another process. A new version is built separately, verified against its
+//! digest and then swapped in whole; an older version is never accepted.
 
+pub mod child;
 pub mod convergence;
-pub mod feed;
 pub mod floor;
 pub mod parent;
 pub mod pull;
@@ -22,76 +24,78 @@
 
 use crate::{event, reducer, settings};
 
-/// A version that the control group has just accepted.
+/// A version that the control group has just committed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CommittedVersion {
-    /// The whole state.
+    /// The complete state at this version.
     pub state: catalogue_state::CatalogueState,
-    /// The step that led to it.
+    /// The change that produced it from the previous version.
     pub step: delta::DeltaStep,
-    /// When it was accepted, in milliseconds since 1970.
+    /// Time of acceptance, in milliseconds since the Unix epoch.
     pub accepted_at_ms: u64,
 }
 
-/// Events of dissemination.
+/// Input events of dissemination.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DisseminationEvent {
-    /// The log of this control has committed a version.
+    /// The log of this control committed a version.
     Committed(CommittedVersion),
-    /// The log of this control took a snapshot over changes that it never saw.
+    /// The log of this control installed a snapshot that covers changes it did not receive
+    /// individually.
     Restored(catalogue_state::CatalogueState),
 }
 
-/// Effects of dissemination.
+/// Effects of dissemination, to be run by the caller of the reducer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DisseminationEffect {
-    /// A version is in force here from now on.
+    /// A new version is in force on this process.
     InForce {
-        /// What is in force.
+        /// The catalogue now in force.
         state: Arc<catalogue_state::CatalogueState>,
     },
-    /// A delta or snapshot was not what its digest promises; a snapshot is asked for.
+    /// A delta or snapshot did not match its digest or failed validation. After an invalid delta, a
+    /// snapshot is requested from its sender.
     InvalidUpdate {
-        /// Who sent it.
+        /// The process that sent the update.
         from: ids::InstanceName,
-        /// Version in force here.
+        /// The version in force on this process when the update arrived.
         held: ids::CatalogueVersion,
     },
-    /// The parent in the relay tree was left.
+    /// This node left its parent in the relay tree.
     ParentLost {
-        /// Its peers address.
+        /// Peer address of the former parent.
         address: SocketAddr,
-        /// Why.
+        /// Why the parent was left.
         reason: parent::LeaveReason,
     },
 }
 
-/// State of dissemination.
+/// State of dissemination on one process.
 #[derive(Debug, Clone, Default)]
 pub struct DisseminationState {
     /// The catalogue in force.
     pub in_force: Arc<catalogue_state::CatalogueState>,
-    /// Least version that may be taken, once it is known.
+    /// Lowest version that may be accepted, once it is known.
     pub floor: floor::FloorState,
-    /// Who gets versions from here.
-    pub children: IndexMap<SocketAddr, feed::FedChild>,
-    /// Where versions come from.
+    /// Children that receive versions from this process, by peer address.
+    pub children: IndexMap<SocketAddr, child::ChildRecord>,
+    /// The parent that this process receives versions from.
     pub parent: parent::ParentState,
-    /// When accepted versions were in force everywhere.
+    /// Records when each accepted version was in force on all nodes.
     pub convergence: convergence::ConvergenceState,
     history: version::VersionHistory,
-    pulls: pull::PullState,
-    reported: report::SentReport,
-    snapshots: Vec<(SocketAddr, time::MonotonicTime)>,
-    /// The version in force as it was last sent whole.
+    pull: pull::PullState,
+    last_report: report::SentReport,
+    snapshots_in_flight: Vec<(SocketAddr, time::MonotonicTime)>,
+    /// Cached encoding of the version in force, with its digest.
     packed: Option<(ids::StateDigest, wire::PackedCatalogue)>,
 }
 
 impl DisseminationState {
-    /// The state of a process that holds nothing yet.
+    /// Creates the state of a process that holds no catalogue yet.
     pub fn new(settings: &settings::EngineSettings) -> Self {
         let floor = if settings.identity.is_control {
-            floor::FloorState::with_memory()
+            floor::FloorState::with_durable_state()
         } else {
             floor::FloorState::default()
         };
@@ -101,11 +105,12 @@
         }
     }
 
-    /// The version in force, packed for sending.
+    /// Returns the version in force, packed for sending. The encoding is reused until the version
+    /// changes.
     fn packed(&mut self) -> wire::PackedCatalogue {
         let digest = self.in_force.digest;
         match &self.packed {
-            Some((known, packed)) if *known == digest => packed.clone(),
+            Some((cached, packed)) if *cached == digest => packed.clone(),
             _ => {
                 let packed = wire::PackedCatalogue::pack(&self.in_force);
                 self.packed = Some((digest, packed.clone()));
@@ -114,14 +119,14 @@
         }
     }
 
-    /// The version in force.
+    /// Returns the number of the version in force.
     pub fn version(&self) -> ids::CatalogueVersion {
         self.in_force.version
     }
 }
 
-/// What is in force here, in short.
-pub fn short_mark(state: &reducer::EngineState) -> wire_membership::ShortMark {
+/// Returns the version in force together with a short form of its digest.
+pub fn version_summary(state: &reducer::EngineState) -> wire_membership::ShortMark {
     let in_force = &state.dissemination.in_force;
     let digest = in_force.digest.0.first_chunk().expect("a digest is longer");
     wire_membership::ShortMark {
@@ -130,21 +135,23 @@
     }
 }
 
-/// Whether a version is in force, or it is proven that there is none yet.
+/// Returns whether this process may serve: always true on a control, and on a node once the version
+/// in force is at least the version floor. An empty catalogue counts if the floor shows that no
+/// version exists yet.
 pub fn is_ready(state: &reducer::EngineState) -> bool {
     state.settings.identity.is_control || state.dissemination.floor.is_met(state)
 }
 
-/// Notes what another process has in force.
-pub fn notice(
+/// Records the version that another process advertises by gossip.
+pub fn observe_version(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     held: wire_membership::ShortMark,
 ) {
-    pull::notice(state, from, held);
+    pull::observe(state, from, held);
 }
 
-/// Notes that a link broke.
+/// Handles the loss of a link to a peer.
 pub fn link_lost(
     state: &mut reducer::EngineState,
     address: SocketAddr,
@@ -153,12 +160,12 @@
     parent::link_lost(state, address, output);
 }
 
-/// Takes the passing of time.
+/// Advances timers.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
-    feed::tick(state, output);
+    child::tick(state, output);
     if state.settings.identity.is_control {
         convergence::tick(state, output);
-        floor::answer_unproven(state, output);
+        floor::answer_pending(state, output);
         return;
     }
     floor::tick(state, output);
@@ -168,7 +175,7 @@
     }
 }
 
-/// Takes a message of a parent, a child or another node.
+/// Handles a message from a parent, a child or another process.
 pub fn receive(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
@@ -177,40 +184,40 @@
 ) {
     match message {
         wire::DisseminationMessage::Keepalive(report) => {
-            feed::take_keepalive(state, from, report, output);
+            child::handle_keepalive(state, from, report, output);
         }
-        wire::DisseminationMessage::Ack(report) => feed::take_ack(state, from, report, output),
-        wire::DisseminationMessage::Parent(mark) => parent::take_mark(state, from, mark, output),
+        wire::DisseminationMessage::Ack(report) => child::handle_ack(state, from, report, output),
+        wire::DisseminationMessage::Parent(mark) => parent::handle_mark(state, from, mark, output),
         wire::DisseminationMessage::Redirect(addresses) => {
-            parent::take_redirect(state, from, addresses);
+            parent::handle_redirect(state, from, addresses);
         }
-        wire::DisseminationMessage::Delta(delta) => version::take_delta(state, from, delta, output),
+        wire::DisseminationMessage::Delta(delta) => version::on_delta(state, from, delta, output),
         wire::DisseminationMessage::Snapshot(snapshot) => {
-            version::take_snapshot(state, from, &snapshot, output);
+            version::on_snapshot(state, from, &snapshot, output);
         }
-        wire::DisseminationMessage::Pull(pull) => feed::take_pull(state, from, pull, output),
-        wire::DisseminationMessage::FloorQuestion => floor::answer(state, from, output),
+        wire::DisseminationMessage::Pull(pull) => child::handle_pull(state, from, pull, output),
+        wire::DisseminationMessage::FloorQuestion => floor::handle_question(state, from, output),
         wire::DisseminationMessage::FloorAnswer(answer) => {
-            floor::take_answer(state, from, answer);
+            floor::handle_answer(state, from, answer);
         }
         wire::DisseminationMessage::Tally(report) => {
-            convergence::take_tally(state, from, report, output);
+            convergence::handle_tally(state, from, report, output);
         }
-        wire::DisseminationMessage::RosterWanted => convergence::repeat_tally(state),
+        wire::DisseminationMessage::RosterWanted => convergence::resend_roster(state),
     }
 }
 
-/// Takes an event of dissemination.
+/// Handles an input event.
 pub fn handle_event(
     state: &mut reducer::EngineState,
     event: DisseminationEvent,
     output: &mut event::ReducerOutput,
 ) {
     match event {
-        DisseminationEvent::Restored(restored) => version::take_restored(state, restored, output),
+        DisseminationEvent::Restored(restored) => version::apply_restored(state, restored, output),
         DisseminationEvent::Committed(committed) => {
-            convergence::accepted(state, &committed);
-            version::take_committed(state, committed, output);
+            convergence::record_accepted(state, &committed);
+            version::apply_committed(state, committed, output);
         }
     }
 }
--- a/crates/engine/src/dissemination/feed.rs
+++ b/crates/engine/src/dissemination/child.rs
@@ -1,8 +1,9 @@
-//! The parent's side of the relay tree: who is fed from here, with what, and who is sent on.
+//! Parent side of the relay tree: adopts children, sends them updates, and redirects nodes when it
+//! is full.
 //!
-//! A control feeds at most `heads` nodes of each data centre and a node at most `fan_out`
-//! children; whoever asks beyond that is told of children that may have a place. Whole catalogues
-//! go out only a few at a time.
+//! A control adopts at most `heads` nodes of each data centre, and a node at most `fan_out`
+//! children. A node that asks for more is redirected to existing children, which may have room. The
+//! number of snapshots in flight is bounded as well.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,84 +19,86 @@
     reducer, settings,
 };
 
-/// Children named to one that finds no place.
-const REDIRECTS: usize = 3;
-/// A child is dropped after silence of this many keepalives.
-const LEASE_KEEPALIVES: u32 = 3;
-/// Time for which a whole catalogue to a node that is not fed from here counts as on its way: such a one
-/// does not say when it has it.
-const STRANGER_TIME: Duration = Duration::from_millis(250);
-/// After this many keepalives without effect something is sent again.
+/// Maximum number of children named in a redirect.
+const MAX_REDIRECTS: usize = 3;
+/// Keepalive periods of silence after which a child is dropped.
+const CHILD_EXPIRY_KEEPALIVES: u32 = 3;
+/// Time for which a snapshot sent to a node that is not a child counts as in flight. Such a node
+/// does not acknowledge what it received.
+const UNATTACHED_SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Keepalive periods without acknowledgement after which an update is sent again.
 const RESEND_KEEPALIVES: u32 = 1;
 
-/// A node that is fed from here.
+/// A node that receives updates from this process.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FedChild {
-    /// Who it is.
+pub struct ChildRecord {
+    /// Identity of the child.
     pub identity: wire_membership::PeerIdentity,
-    /// When it was last heard.
-    pub heard: time::MonotonicTime,
-    /// What it said it has in force.
+    /// Time of the last report from the child.
+    pub last_heard: time::MonotonicTime,
+    /// The version that the child last reported as in force on itself.
     pub held: wire_membership::ShortMark,
-    /// Every node of its subtree has this version or a later one in force.
+    /// Every node of the child's subtree has this version or a later one in force.
     pub floor: ids::CatalogueVersion,
-    /// Digest of the names of its subtree.
+    /// Exclusive or of the name digests of the nodes in the child's subtree.
     pub fingerprint: wire_membership::ShortDigest,
-    /// Digests of the names of its subtree; may be of before the last change.
+    /// Name digests of the nodes in the child's subtree. May be outdated until the child sends its
+    /// roster again; see [`Self::has_roster`].
     pub roster: IndexSet<wire_membership::ShortDigest>,
-    /// Since when its floor has been below what is in force here without growing; `None` when it
-    /// is not.
-    pub lags: Option<time::MonotonicTime>,
-    sent: ids::CatalogueVersion,
+    /// Since when the floor has been below the version in force here without advancing; `None` if
+    /// it is not below. Zero for a child that has not caught up since it was adopted.
+    pub lagging_since: Option<time::MonotonicTime>,
+    sent_version: ids::CatalogueVersion,
     sent_at: time::MonotonicTime,
 }
 
-impl FedChild {
-    /// Whether the roster is the one that the fingerprint is of.
+impl ChildRecord {
+    /// Returns whether the roster matches the fingerprint.
     pub fn has_roster(&self) -> bool {
         report::fingerprint(&self.roster) == self.fingerprint
     }
 }
 
-/// Takes a child's keepalive: keeps, adopts or redirects it.
-pub fn take_keepalive(
+/// Handles a keepalive: renews the child, adopts it or redirects it.
+pub fn handle_keepalive(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     report: wire::ChildReport,
     output: &mut event::ReducerOutput,
 ) {
-    let known = state.dissemination.children.get(&from.address);
-    let is_same = known.is_some_and(|child| child.identity.incarnation == from.incarnation);
-    if !is_same {
+    let existing = state.dissemination.children.get(&from.address);
+    let is_known_process =
+        existing.is_some_and(|child| child.identity.incarnation == from.incarnation);
+    if !is_known_process {
         state.dissemination.children.shift_remove(&from.address);
-        if !may_adopt(state, from) {
+        if !can_adopt(state, from) {
             return redirect(state, from, output);
         }
         adopt(state, from, &report);
     }
-    take_report(state, from.address, report, true);
-    answer(state, from.address, output);
-    feed(state, from.address, output);
-    report::reached(state, output);
+    apply_report(state, from.address, report, true);
+    send_parent_mark(state, from.address, output);
+    update_child(state, from.address, output);
+    report::send_progress(state, output);
 }
 
-/// Takes a child's report that its subtree has reached a version.
-pub fn take_ack(
+/// Handles a child's report that its subtree has reached a version.
+pub fn handle_ack(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     report: wire::ChildReport,
     output: &mut event::ReducerOutput,
 ) {
-    take_report(state, from.address, report, false);
-    feed(state, from.address, output);
-    report::reached(state, output);
+    apply_report(state, from.address, report, false);
+    update_child(state, from.address, output);
+    report::send_progress(state, output);
 }
 
-fn may_adopt(state: &reducer::EngineState, from: &wire_membership::PeerIdentity) -> bool {
+fn can_adopt(state: &reducer::EngineState, from: &wire_membership::PeerIdentity) -> bool {
     let dissemination = &state.dissemination;
     let is_own_parent = dissemination.parent.address == Some(from.address);
     let path_from_control = parent::path_from_control(state);
-    let is_above = path_from_control.contains(&parent::path_mark(&from.instance));
+    let is_above = path_from_control.contains(&parent::path_id(&from.instance));
     if path_from_control.is_empty() || is_own_parent || is_above || !from.is_node {
         return false;
     }
@@ -106,9 +109,14 @@
     } else {
         tunables.fan_out
     };
-    let is_counted =
-        |child: &&FedChild| !is_control || child.identity.data_centre == from.data_centre;
-    dissemination.children.values().filter(is_counted).count() < limit as usize
+    let counts_towards_limit =
+        |child: &&ChildRecord| !is_control || child.identity.data_centre == from.data_centre;
+    dissemination
+        .children
+        .values()
+        .filter(counts_towards_limit)
+        .count()
+        < limit as usize
 }
 
 fn adopt(
@@ -116,15 +124,15 @@
     from: &wire_membership::PeerIdentity,
     report: &wire::ChildReport,
 ) {
-    let child = FedChild {
+    let child = ChildRecord {
         identity: from.clone(),
-        heard: state.now,
+        last_heard: state.now,
         held: report.held,
         floor: ids::CatalogueVersion::default(),
         fingerprint: wire_membership::ShortDigest::default(),
         roster: IndexSet::new(),
-        lags: Some(time::MonotonicTime::default()),
-        sent: report.held.version,
+        lagging_since: Some(time::MonotonicTime::default()),
+        sent_version: report.held.version,
         sent_at: state.now,
     };
     state.dissemination.children.insert(from.address, child);
@@ -135,22 +143,22 @@
     from: &wire_membership::PeerIdentity,
     output: &mut event::ReducerOutput,
 ) {
-    let is_near = |child: &&FedChild| {
+    let is_candidate = |child: &&ChildRecord| {
         child.identity.data_centre == from.data_centre && child.identity.address != from.address
     };
-    let near = state.dissemination.children.values().filter(is_near);
-    let addresses = near
+    let candidates = state.dissemination.children.values().filter(is_candidate);
+    let addresses = candidates
         .map(|child| child.identity.address)
-        .sample(&mut state.random, REDIRECTS);
+        .sample(&mut state.random, MAX_REDIRECTS);
     let message = wire::DisseminationMessage::Redirect(addresses);
     dissemination::send(output, from.address, message);
 }
 
-fn take_report(
+fn apply_report(
     state: &mut reducer::EngineState,
     from: SocketAddr,
     report: wire::ChildReport,
-    may_resend: bool,
+    can_resend: bool,
 ) {
     let now = state.now;
     let keepalive = settings::millis(state.settings.tunables.dissemination.keepalive_ms);
@@ -158,68 +166,79 @@
     let Some(child) = state.dissemination.children.get_mut(&from) else {
         return;
     };
-    child.heard = now;
+    child.last_heard = now;
     child.held = report.held;
-    let has_grown = report.subtree.floor > child.floor;
+    let has_advanced = report.subtree.floor > child.floor;
     child.floor = report.subtree.floor;
     child.fingerprint = report.subtree.fingerprint;
     if let Some(roster) = report.subtree.roster {
         child.roster = roster.into_iter().collect();
     }
     if child.floor >= in_force {
-        child.lags = None;
-    } else if has_grown && child.lags.is_some() {
-        child.lags = Some(now);
+        child.lagging_since = None;
+    } else if has_advanced && child.lagging_since.is_some() {
+        child.lagging_since = Some(now);
     }
     let is_overdue = now.since(child.sent_at) >= keepalive * RESEND_KEEPALIVES;
-    if may_resend && is_overdue && child.held.version < child.sent {
-        child.sent = child.held.version;
+    if can_resend && is_overdue && child.held.version < child.sent_version {
+        child.sent_version = child.held.version;
     }
-    if child.held.version >= child.sent {
-        state.dissemination.snapshots.retain(|(to, _)| *to != from);
+    if child.held.version >= child.sent_version {
+        state
+            .dissemination
+            .snapshots_in_flight
+            .retain(|(to, _)| *to != from);
     }
 }
 
-fn answer(state: &reducer::EngineState, to: SocketAddr, output: &mut event::ReducerOutput) {
+fn send_parent_mark(
+    state: &reducer::EngineState,
+    to: SocketAddr,
+    output: &mut event::ReducerOutput,
+) {
     let child = state.dissemination.children.get(&to);
     let mark = wire::ParentMark {
-        held: dissemination::short_mark(state),
+        held: dissemination::version_summary(state),
         path: parent::path_from_control(state),
         wants_roster: child.is_some_and(|child| !child.has_roster()),
     };
     dissemination::send(output, to, wire::DisseminationMessage::Parent(mark));
 }
 
-/// Sends every child what it misses.
-pub fn feed_all(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
+/// Sends every child the changes it is missing.
+pub fn update_all(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let now = state.now;
     let children: Vec<SocketAddr> = state.dissemination.children.keys().copied().collect();
     for to in children {
         if let Some(child) = state.dissemination.children.get_mut(&to) {
-            child.lags.get_or_insert(now);
+            child.lagging_since.get_or_insert(now);
         }
-        feed(state, to, output);
+        update_child(state, to, output);
     }
 }
 
-fn feed(state: &mut reducer::EngineState, to: SocketAddr, output: &mut event::ReducerOutput) {
+fn update_child(
+    state: &mut reducer::EngineState,
+    to: SocketAddr,
+    output: &mut event::ReducerOutput,
+) {
     let in_force = state.dissemination.version();
     let Some(child) = state.dissemination.children.get(&to) else {
         return;
     };
-    let base = child.held.version.max(child.sent);
+    let base = child.held.version.max(child.sent_version);
     if base >= in_force || !send_missing(state, to, base, output) {
         return;
     }
     let now = state.now;
     if let Some(child) = state.dissemination.children.get_mut(&to) {
-        child.sent = in_force;
+        child.sent_version = in_force;
         child.sent_at = now;
     }
 }
 
-/// Sends what is missing after a version; false when it is a whole catalogue and too many are on
-/// their way.
+/// Sends the changes after a version, as a delta or snapshot. Returns false if a snapshot is needed
+/// and too many are in flight.
 fn send_missing(
     state: &mut reducer::EngineState,
     to: SocketAddr,
@@ -241,27 +260,31 @@
     output: &mut event::ReducerOutput,
 ) -> bool {
     let tunables = &state.settings.tunables.dissemination;
-    let longest = settings::millis(tunables.keepalive_ms) * LEASE_KEEPALIVES;
+    let timeout = settings::millis(tunables.keepalive_ms) * CHILD_EXPIRY_KEEPALIVES;
     let limit = tunables.snapshots_at_once as usize;
     let now = state.now;
     let children = &state.dissemination.children;
-    let snapshots = &mut state.dissemination.snapshots;
-    snapshots.retain(|(receiver, sent)| {
-        let is_fed = children.contains_key(receiver);
-        let longest = if is_fed { longest } else { STRANGER_TIME };
-        *receiver != to && now.since(*sent) < longest
+    let in_flight = &mut state.dissemination.snapshots_in_flight;
+    in_flight.retain(|(receiver, sent)| {
+        let is_child = children.contains_key(receiver);
+        let timeout = if is_child {
+            timeout
+        } else {
+            UNATTACHED_SNAPSHOT_TIMEOUT
+        };
+        *receiver != to && now.since(*sent) < timeout
     });
-    if snapshots.len() >= limit {
+    if in_flight.len() >= limit {
         return false;
     }
-    snapshots.push((to, now));
+    in_flight.push((to, now));
     let packed = state.dissemination.packed();
     dissemination::send(output, to, wire::DisseminationMessage::Snapshot(packed));
     true
 }
 
-/// Takes a question for what is missing after a version, of a child or of any node.
-pub fn take_pull(
+/// Handles a request for the changes after a version, from a child or any other node.
+pub fn handle_pull(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     pull: wire::VersionPull,
@@ -278,17 +301,17 @@
     };
     let now = state.now;
     if let Some(child) = state.dissemination.children.get_mut(&from.address) {
-        child.sent = if is_sent { in_force } else { pull.version };
+        child.sent_version = if is_sent { in_force } else { pull.version };
         child.sent_at = now;
     }
 }
 
-/// Drops silent children and feeds those that had to wait.
+/// Drops children that are silent or have left, and updates those whose snapshot was postponed.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let keepalive = settings::millis(state.settings.tunables.dissemination.keepalive_ms);
     let now = state.now;
     let members = &state.membership.members;
-    let has_left = |child: &FedChild| {
+    let has_left = |child: &ChildRecord| {
         let member = members.get(&child.identity.instance);
         member.is_some_and(|member| member.record.has_left)
             && member.is_some_and(|member| {
@@ -296,10 +319,10 @@
             })
     };
     state.dissemination.children.retain(|_, child| {
-        now.since(child.heard) < keepalive * LEASE_KEEPALIVES && !has_left(child)
+        now.since(child.last_heard) < keepalive * CHILD_EXPIRY_KEEPALIVES && !has_left(child)
     });
     let in_force = state.dissemination.version();
-    let is_waiting = |child: &FedChild| child.held.version.max(child.sent) < in_force;
+    let is_waiting = |child: &ChildRecord| child.held.version.max(child.sent_version) < in_force;
     let waiting: Vec<SocketAddr> = state
         .dissemination
         .children
@@ -308,11 +331,11 @@
         .map(|(address, _)| *address)
         .collect();
     for to in waiting {
-        feed(state, to, output);
+        update_child(state, to, output);
     }
 }
 
-/// Short digest of a child's or the own name.
+/// Returns the short digest of an instance name.
 pub fn name_digest(name: &ids::InstanceName) -> wire_membership::ShortDigest {
     table::name_digest(name.as_str())
 }
--- a/crates/engine/src/dissemination/convergence.rs
+++ b/crates/engine/src/dissemination/convergence.rs
@@ -1,8 +1,8 @@
-//! When an accepted version was in force everywhere, and who is behind.
+//! Tracks when each accepted version was in force on all nodes, and which nodes are behind.
 //!
-//! A control adds up the reports of its children and of the other controls. A version counts as in
-//! force everywhere only when the names in those reports are exactly the known nodes; a node that
-//! is cut off or dead is in no report, so it is named as behind and never counted.
+//! A control aggregates the reports of its children and of the other controls. A version counts as
+//! in force everywhere only if the names in those reports match the known nodes exactly. A node
+//! that is partitioned or dead appears in no report, so it is listed as behind and never counted.
 
 use std::collections::VecDeque;
 
@@ -11,193 +11,200 @@
 use indexmap::{IndexMap, IndexSet};
 
 use crate::{
-    dissemination::{self, feed, report},
+    dissemination::{self, child, report},
     event,
     membership::{reach, table},
     reducer, settings,
 };
 
-/// Accepted versions that are remembered.
-const KEPT_VERSIONS: usize = 4096;
-/// Keepalives for which another control's report counts.
-const TALLY_KEEPALIVES: u32 = 3;
+/// Number of accepted versions whose convergence is tracked.
+const MAX_TRACKED_VERSIONS: usize = 4096;
+/// Keepalive periods after which another control's report expires.
+const TALLY_EXPIRY_KEEPALIVES: u32 = 3;
 
-/// An accepted version.
+/// An accepted version and when it was in force everywhere.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct AcceptedVersion {
     version: ids::CatalogueVersion,
     accepted_at_ms: u64,
-    committed: time::MonotonicTime,
-    everywhere: Option<time::MonotonicTime>,
+    committed_at: time::MonotonicTime,
+    in_force_everywhere_at: Option<time::MonotonicTime>,
 }
 
-/// Another control's report.
+/// The last report received from another control.
 #[derive(Debug, Clone, PartialEq)]
-struct TakenTally {
+struct ReceivedTally {
     floor: ids::CatalogueVersion,
     fingerprint: wire_membership::ShortDigest,
     roster: IndexSet<wire_membership::ShortDigest>,
-    taken: time::MonotonicTime,
+    received_at: time::MonotonicTime,
 }
 
-/// Accepted versions and the reports of other controls.
+/// Accepted versions, and the reports exchanged with other controls.
 #[derive(Debug, Clone, Default)]
 pub struct ConvergenceState {
     versions: VecDeque<AcceptedVersion>,
-    tallies: IndexMap<ids::InstanceName, TakenTally>,
-    told: time::MonotonicTime,
-    told_tally: Option<(ids::CatalogueVersion, wire_membership::ShortDigest)>,
+    tallies: IndexMap<ids::InstanceName, ReceivedTally>,
+    last_sent_at: time::MonotonicTime,
+    last_sent: Option<(ids::CatalogueVersion, wire_membership::ShortDigest)>,
 }
 
-/// A node that does not have a version in force, as far as is known.
+/// A node not known to have a given version in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BehindNode {
-    /// Its name.
+    /// Instance name of the node.
     pub instance: ids::InstanceName,
-    /// Its data centre.
+    /// Data centre of the node.
     pub data_centre: ids::DataCentreName,
-    /// Whether it can be reached.
+    /// Reachability of the node as seen by this process.
     pub reachability: reach::Reachability,
 }
 
-/// What is known of a version's convergence.
+/// Convergence of one version, as known to this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConvergenceView {
-    /// The version.
+    /// The version described.
     pub version: ids::CatalogueVersion,
-    /// When it was accepted, in milliseconds since 1970; `None` when that was before this process
-    /// started.
+    /// Time of acceptance, in milliseconds since the Unix epoch; `None` if the version was accepted
+    /// before this process started.
     pub accepted_at_ms: Option<u64>,
-    /// Nodes that are known and have not left.
+    /// Number of known nodes that have not left.
     pub nodes_known: usize,
-    /// Nodes that have it or a later version in force.
+    /// Number of known nodes that have this version or a later one in force.
     pub nodes_in_force: usize,
-    /// When it was in force at all nodes known then, in milliseconds since 1970.
+    /// Time at which all nodes known at that time had the version in force, in milliseconds since
+    /// the Unix epoch.
     pub in_force_everywhere_at_ms: Option<u64>,
-    /// The other nodes.
+    /// Known nodes that are not counted in `nodes_in_force`.
     pub behind: Vec<BehindNode>,
 }
 
-/// Notes an accepted version.
-pub fn accepted(state: &mut reducer::EngineState, committed: &dissemination::CommittedVersion) {
+/// Starts tracking an accepted version.
+pub fn record_accepted(
+    state: &mut reducer::EngineState,
+    committed: &dissemination::CommittedVersion,
+) {
     let versions = &mut state.dissemination.convergence.versions;
     versions.push_back(AcceptedVersion {
         version: committed.state.version,
         accepted_at_ms: committed.accepted_at_ms,
-        committed: state.now,
-        everywhere: None,
+        committed_at: state.now,
+        in_force_everywhere_at: None,
     });
-    if versions.len() > KEPT_VERSIONS {
+    if versions.len() > MAX_TRACKED_VERSIONS {
         versions.pop_front();
     }
 }
 
-/// Takes another control's report.
-pub fn take_tally(
+/// Handles another control's report.
+pub fn handle_tally(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     tally: wire::SubtreeReport,
     output: &mut event::ReducerOutput,
 ) {
     let tallies = &mut state.dissemination.convergence.tallies;
-    let known = tallies.swap_remove(&from.instance);
+    let previous = tallies.swap_remove(&from.instance);
     let roster: IndexSet<wire_membership::ShortDigest> = match tally.roster {
         Some(roster) => roster.into_iter().collect(),
-        None => known.map(|known| known.roster).unwrap_or_default(),
+        None => previous.map(|previous| previous.roster).unwrap_or_default(),
     };
     if report::fingerprint(&roster) != tally.fingerprint {
         let message = wire::DisseminationMessage::RosterWanted;
         dissemination::send(output, from.address, message);
     }
-    let taken = TakenTally {
+    let received = ReceivedTally {
         floor: tally.floor,
         fingerprint: tally.fingerprint,
         roster,
-        taken: state.now,
+        received_at: state.now,
     };
-    tallies.insert(from.instance.clone(), taken);
-    evaluate(state);
+    tallies.insert(from.instance.clone(), received);
+    mark_converged(state);
 }
 
-/// Has the next report to other controls carry the roster.
-pub fn repeat_tally(state: &mut reducer::EngineState) {
-    state.dissemination.convergence.told_tally = None;
+/// Includes the roster in the next report to the other controls.
+pub fn resend_roster(state: &mut reducer::EngineState) {
+    state.dissemination.convergence.last_sent = None;
 }
 
-/// Tells the other controls what the nodes behind this one have in force: when that changes, and
-/// again with each keepalive.
+/// Reports to the other controls which version the nodes below this control have in force: whenever
+/// that changes, and at least once per keepalive period.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let period = settings::millis(state.settings.tunables.dissemination.keepalive_ms);
     let now = state.now;
     let tallies = &mut state.dissemination.convergence.tallies;
-    tallies.retain(|_, tally| now.since(tally.taken) < period * TALLY_KEEPALIVES);
+    tallies.retain(|_, tally| now.since(tally.received_at) < period * TALLY_EXPIRY_KEEPALIVES);
     let own = state.settings.identity.address;
-    let others: Vec<std::net::SocketAddr> = state
+    let other_controls: Vec<std::net::SocketAddr> = state
         .settings
         .control
         .iter()
         .copied()
         .filter(|address| *address != own)
         .collect();
-    if others.is_empty() {
+    if other_controls.is_empty() {
         return;
     }
     let mut tally = report::subtree(state);
-    let short = (tally.floor, tally.fingerprint);
+    let summary = (tally.floor, tally.fingerprint);
     let convergence = &state.dissemination.convergence;
-    let is_due = now.since(convergence.told) >= period;
-    if !is_due && convergence.told_tally == Some(short) {
+    let is_period_over = now.since(convergence.last_sent_at) >= period;
+    if !is_period_over && convergence.last_sent == Some(summary) {
         return;
     }
-    let told_fingerprint = convergence.told_tally.map(|(_, fingerprint)| fingerprint);
-    if told_fingerprint != Some(tally.fingerprint) {
+    let sent_fingerprint = convergence.last_sent.map(|(_, fingerprint)| fingerprint);
+    if sent_fingerprint != Some(tally.fingerprint) {
         tally.roster = Some(report::roster(state));
     }
-    state.dissemination.convergence.told = now;
-    state.dissemination.convergence.told_tally = Some(short);
-    for to in others {
+    state.dissemination.convergence.last_sent_at = now;
+    state.dissemination.convergence.last_sent = Some(summary);
+    for to in other_controls {
         let message = wire::DisseminationMessage::Tally(tally.clone());
         dissemination::send(output, to, message);
     }
 }
 
-/// Notes the versions that are in force everywhere by now.
-pub fn evaluate(state: &mut reducer::EngineState) {
-    let mut missing = wire_membership::ShortDigest::default();
+/// Marks the versions that are now in force everywhere.
+///
+/// The fingerprints are exclusive ors of name digests, so the difference between known and reported
+/// nodes is zero exactly when both sets are equal, apart from collisions.
+pub fn mark_converged(state: &mut reducer::EngineState) {
+    let mut difference = wire_membership::ShortDigest::default();
     let mut nodes = 0;
     for record in state.membership.present() {
         if record.identity.is_node {
-            missing ^= feed::name_digest(&record.identity.instance);
+            difference ^= child::name_digest(&record.identity.instance);
             nodes += 1;
         }
     }
     let mut floor = state.dissemination.version();
     let own = &state.settings.identity;
     if own.is_node {
-        missing ^= feed::name_digest(&own.instance);
+        difference ^= child::name_digest(&own.instance);
     }
     for child in state.dissemination.children.values() {
-        missing ^= child.fingerprint;
+        difference ^= child.fingerprint;
         floor = floor.min(child.floor);
     }
     for tally in state.dissemination.convergence.tallies.values() {
-        missing ^= tally.fingerprint;
+        difference ^= tally.fingerprint;
         floor = floor.min(tally.floor);
     }
-    if nodes == 0 || missing != wire_membership::ShortDigest::default() {
+    if nodes == 0 || difference != wire_membership::ShortDigest::default() {
         return;
     }
     let now = state.now;
     let versions = state.dissemination.convergence.versions.iter_mut().rev();
     let pending = versions
         .skip_while(|accepted| accepted.version > floor)
-        .take_while(|accepted| accepted.everywhere.is_none());
+        .take_while(|accepted| accepted.in_force_everywhere_at.is_none());
     for accepted in pending {
-        accepted.everywhere = Some(now);
+        accepted.in_force_everywhere_at = Some(now);
     }
 }
 
-/// What is known of a version; `None` when there is no such version here.
+/// Returns the convergence of a version; `None` if the version is later than the one in force here.
 pub fn view(
     state: &reducer::EngineState,
     version: ids::CatalogueVersion,
@@ -205,7 +212,7 @@
     if version > state.dissemination.version() {
         return None;
     }
-    let in_force = in_force_at(state, version);
+    let in_force = names_in_force(state, version);
     let nodes = state
         .membership
         .present()
@@ -236,23 +243,23 @@
     let versions = &state.dissemination.convergence.versions;
     let accepted = versions.iter().find(|accepted| accepted.version == version);
     if let Some(accepted) = accepted {
-        let took = |everywhere: time::MonotonicTime| {
-            accepted.accepted_at_ms + everywhere.since(accepted.committed).as_millis() as u64
+        let wall_clock_ms = |everywhere: time::MonotonicTime| {
+            accepted.accepted_at_ms + everywhere.since(accepted.committed_at).as_millis() as u64
         };
         view.accepted_at_ms = Some(accepted.accepted_at_ms);
-        view.in_force_everywhere_at_ms = accepted.everywhere.map(took);
+        view.in_force_everywhere_at_ms = accepted.in_force_everywhere_at.map(wall_clock_ms);
     }
     Some(view)
 }
 
-fn in_force_at(
+fn names_in_force(
     state: &reducer::EngineState,
     version: ids::CatalogueVersion,
 ) -> IndexSet<wire_membership::ShortDigest> {
     let mut names = IndexSet::new();
     let own = &state.settings.identity;
     if own.is_node {
-        names.insert(feed::name_digest(&own.instance));
+        names.insert(child::name_digest(&own.instance));
     }
     for child in state.dissemination.children.values() {
         if child.floor >= version {
--- a/crates/engine/src/dissemination/floor.rs
+++ b/crates/engine/src/dissemination/floor.rs
@@ -1,9 +1,11 @@
-//! The least version that a process without memory may take.
+//! Version floor: the lowest version that a process without durable state may accept.
 //!
-//! Its own past is lost, so it asks: a control that a majority has just confirmed, or after a while
-//! a majority of the controls, or failing those every reachable node of its data centre. Until one of these
-//! has answered it takes nothing, so that one control behind a partition cannot hand it a version
-//! older than its neighbours have. With nobody to ask it waits and says why.
+//! Such a process does not know which version it held before a restart, so it asks the others. The
+//! floor is set by the answer of a control that a majority has just confirmed; after a wait by the
+//! answers of a majority of the controls; or else by the answers of the reachable nodes in its data
+//! centre. Until then the process accepts no version, so that a single control behind a partition
+//! cannot give it a version older than its neighbours have. If nobody answers, it keeps waiting and
+//! reports why.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,64 +15,65 @@
 
 use crate::{dissemination, event, membership::reach, reducer, replication, settings};
 
-/// Time between two rounds of questions.
-const ASK_PERIOD: Duration = Duration::from_millis(500);
+/// Time between two rounds of queries.
+const QUERY_PERIOD: Duration = Duration::from_millis(500);
 
-/// Processes that wait for this control's proof at most; others ask again.
-const MOST_WAITING: usize = 4096;
+/// Maximum number of queries kept until this control can prove that it is current. Other processes
+/// have to ask again.
+const MAX_PENDING_QUERIES: usize = 4096;
 
-/// What is known of the floor.
+/// The version floor and the answers collected to determine it.
 #[derive(Debug, Clone, Default)]
 pub struct FloorState {
-    known: Option<ids::CatalogueVersion>,
-    started: Option<time::MonotonicTime>,
-    next_ask: time::MonotonicTime,
-    peers_since: Option<time::MonotonicTime>,
+    minimum: Option<ids::CatalogueVersion>,
+    started_at: Option<time::MonotonicTime>,
+    next_query_at: time::MonotonicTime,
+    peers_asked_at: Option<time::MonotonicTime>,
     answers: IndexMap<ids::InstanceName, (bool, wire::FloorAnswer)>,
-    /// At a control: who asked while it could not prove that it is current.
-    unproven: IndexSet<SocketAddr>,
+    /// Processes that asked this control while it could not prove that it is current.
+    pending_queries: IndexSet<SocketAddr>,
 }
 
 impl FloorState {
-    /// The state of a process whose memory is its disk.
-    pub fn with_memory() -> Self {
+    /// Creates the state of a process with durable state, which needs no floor.
+    pub fn with_durable_state() -> Self {
         Self {
-            known: Some(ids::CatalogueVersion::default()),
+            minimum: Some(ids::CatalogueVersion::default()),
             ..Self::default()
         }
     }
 
-    /// Whether the floor is known.
+    /// Returns whether the floor is known.
     pub fn is_known(&self) -> bool {
-        self.known.is_some()
+        self.minimum.is_some()
     }
 
-    /// Whether a version may be taken.
+    /// Returns whether a version may be accepted.
     pub fn allows(&self, version: ids::CatalogueVersion) -> bool {
-        self.known.is_some_and(|known| version >= known)
+        self.minimum.is_some_and(|minimum| version >= minimum)
     }
 
-    /// Whether what is in force is not below the floor.
+    /// Returns whether the version in force is at or above the floor.
     pub fn is_met(&self, state: &reducer::EngineState) -> bool {
         self.allows(state.dissemination.version())
     }
 
-    /// Why nothing is in force yet; `None` when something is.
+    /// Returns why no version is in force yet; `None` if one is.
     pub fn waiting_reason(&self, state: &reducer::EngineState) -> Option<String> {
-        let centre = &state.settings.identity.data_centre;
+        let data_centre = &state.settings.identity.data_centre;
         if self.is_met(state) {
             return None;
         }
-        if let Some(known) = self.known {
+        if let Some(minimum) = self.minimum {
             return Some(format!(
-                "version {known} is known to exist, and nobody has sent it yet"
+                "version {minimum} is known to exist, and nobody has sent it yet"
             ));
         }
         let controls = self.answers.values().filter(|(is_control, _)| *is_control);
         Some(match controls.count() {
-            0 => format!("no control answers, and no node of {centre} that holds a version"),
+            0 => format!("no control answers, and no node of {data_centre} that holds a version"),
             count => format!(
-                "{count} of {} controls answer, none can show a majority, and no node of {centre} \
+                "{count} of {} controls answer, none can show a majority, and no node of {data_centre} \
                  that holds a version answers",
                 state.settings.control.len()
             ),
@@ -78,44 +81,45 @@
     }
 }
 
-/// Takes the passing of time.
+/// Advances timers.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let now = state.now;
-    let wait = settings::millis(state.settings.tunables.dissemination.floor_wait_ms);
+    let wait_time = settings::millis(state.settings.tunables.dissemination.floor_wait_ms);
     let floor = &mut state.dissemination.floor;
-    if floor.known.is_some() {
+    if floor.minimum.is_some() {
         return;
     }
-    let started = *floor.started.get_or_insert(now);
+    let started_at = *floor.started_at.get_or_insert(now);
     decide(state);
-    if state.dissemination.floor.known.is_some() || now < state.dissemination.floor.next_ask {
+    if state.dissemination.floor.minimum.is_some() || now < state.dissemination.floor.next_query_at
+    {
         return;
     }
-    state.dissemination.floor.next_ask = now + ASK_PERIOD;
+    state.dissemination.floor.next_query_at = now + QUERY_PERIOD;
     let contacts = state.settings.control.iter().copied();
-    let mut asked: Vec<SocketAddr> = contacts.chain(state.membership.controls()).collect();
-    asked.sort_unstable();
-    asked.dedup();
-    if now.since(started) >= wait {
-        let peers = neighbours(state);
+    let mut contacted: Vec<SocketAddr> = contacts.chain(state.membership.controls()).collect();
+    contacted.sort_unstable();
+    contacted.dedup();
+    if now.since(started_at) >= wait_time {
+        let peers = local_peers(state);
         if !peers.is_empty() {
-            state.dissemination.floor.peers_since.get_or_insert(now);
+            state.dissemination.floor.peers_asked_at.get_or_insert(now);
         }
-        asked.extend(peers);
+        contacted.extend(peers);
     }
-    for to in asked {
+    for to in contacted {
         dissemination::send(output, to, wire::DisseminationMessage::FloorQuestion);
     }
 }
 
-fn neighbours(state: &reducer::EngineState) -> Vec<SocketAddr> {
-    let centre = &state.settings.identity.data_centre;
+fn local_peers(state: &reducer::EngineState) -> Vec<SocketAddr> {
+    let data_centre = &state.settings.identity.data_centre;
     let identities = state
         .membership
         .others()
         .map(|member| &member.record.identity);
     identities
-        .filter(|identity| identity.is_node && identity.data_centre == *centre)
+        .filter(|identity| identity.is_node && identity.data_centre == *data_centre)
         .filter(|identity| {
             let reachability = state.membership.reachability(&identity.instance);
             reachability != reach::Reachability::Unreachable
@@ -124,29 +128,32 @@
         .collect()
 }
 
-/// Answers a process that asks for the floor.
-pub fn answer(
+/// Handles a query for the version floor.
+pub fn handle_question(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     output: &mut event::ReducerOutput,
 ) {
     let proof = proof(state);
     if proof == wire::FloorProof::Control {
-        let unproven = &mut state.dissemination.floor.unproven;
-        if unproven.len() < MOST_WAITING {
-            unproven.insert(from.address);
+        let pending_queries = &mut state.dissemination.floor.pending_queries;
+        if pending_queries.len() < MAX_PENDING_QUERIES {
+            pending_queries.insert(from.address);
         }
     }
     send_answer(state, from.address, proof, output);
 }
 
-/// Tells those that asked in vain, as soon as this control can prove that it is current: after a loss of
-/// power of all machines the whole fleet waits for that, and asks only twice a second.
-pub fn answer_unproven(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
-    if state.dissemination.floor.unproven.is_empty() || !replication::is_proven_current(state) {
+/// Answers the pending queries as soon as this control can prove that it is current. After a power
+/// loss of all machines the whole fleet waits for this answer, and would otherwise get it only with
+/// its next query, up to half a second later.
+pub fn answer_pending(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
+    if state.dissemination.floor.pending_queries.is_empty()
+        || !replication::is_proven_current(state)
+    {
         return;
     }
-    for to in std::mem::take(&mut state.dissemination.floor.unproven) {
+    for to in std::mem::take(&mut state.dissemination.floor.pending_queries) {
         send_answer(state, to, wire::FloorProof::Majority, output);
     }
 }
@@ -179,14 +186,14 @@
     dissemination::send(output, to, message);
 }
 
-/// Takes an answer.
-pub fn take_answer(
+/// Handles an answer to a query.
+pub fn handle_answer(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     answer: wire::FloorAnswer,
 ) {
     let floor = &mut state.dissemination.floor;
-    if floor.known.is_none() {
+    if floor.minimum.is_none() {
         floor
             .answers
             .insert(from.instance.clone(), (from.is_control, answer));
@@ -195,23 +202,23 @@
 }
 
 fn decide(state: &mut reducer::EngineState) {
-    let wait = settings::millis(state.settings.tunables.dissemination.floor_wait_ms);
+    let wait_time = settings::millis(state.settings.tunables.dissemination.floor_wait_ms);
     let floor = &state.dissemination.floor;
     let answers = || floor.answers.values();
     let has_proof = |proof| answers().any(|(_, answer)| answer.proof == proof);
     let controls = answers().filter(|(is_control, _)| *is_control).count();
-    let had_time = floor
-        .started
-        .is_some_and(|started| state.now.since(started) >= wait);
-    // A majority of followers may not know yet what a leader among the others has committed, so
-    // a leader's own proof is given time first.
-    let has_majority = controls > state.settings.control.len() / 2 && had_time;
-    let peers_had_time = floor
-        .peers_since
-        .is_some_and(|since| state.now.since(since) >= wait);
-    let has_peers = has_proof(wire::FloorProof::Peer) && peers_had_time;
+    let has_waited = floor
+        .started_at
+        .is_some_and(|started_at| state.now.since(started_at) >= wait_time);
+    // A majority of the controls may consist of followers that have not yet heard of the leader's
+    // last commit, so the leader's own proof is awaited first.
+    let has_majority = controls > state.settings.control.len() / 2 && has_waited;
+    let has_waited_for_peers = floor
+        .peers_asked_at
+        .is_some_and(|since| state.now.since(since) >= wait_time);
+    let has_peers = has_proof(wire::FloorProof::Peer) && has_waited_for_peers;
     if has_proof(wire::FloorProof::Majority) || has_majority || has_peers {
         let versions = answers().map(|(_, answer)| answer.version);
-        state.dissemination.floor.known = versions.max();
+        state.dissemination.floor.minimum = versions.max();
     }
 }
--- a/crates/engine/src/dissemination/parent.rs
+++ b/crates/engine/src/dissemination/parent.rs
@@ -1,9 +1,9 @@
-//! The child's side of the relay tree: finding a parent, keeping it, leaving it.
+//! Child side of the relay tree: finds a parent, keeps it and leaves it.
 //!
-//! A node asks the control that its data centre prefers and follows redirects downwards. It
-//! leaves a parent that is silent, that stays behind what the node holds, that has lost its way
-//! to a control, or that turns out to be fed by the node itself. All tries but the first wait a
-//! random time, so that a herd does not return in step.
+//! A node asks the control that its data centre prefers and follows redirects down the tree. It
+//! leaves a parent that is silent, that stays behind the node's own version, that has lost its path
+//! to a control, or that is itself a descendant of the node. Every attempt but the first is delayed
+//! by a random time (full jitter), so that nodes that failed together do not return in step.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,35 +19,35 @@
     reducer, settings,
 };
 
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
-const MOST_DOUBLINGS: u32 = 6;
-/// A parent that broke its link is not tried for this long.
-const LINK_LOST_PAUSE: Duration = Duration::from_millis(500);
-/// Keepalives without an answer after which a parent is silent, times two.
-const SILENT_HALF_KEEPALIVES: u32 = 5;
-/// Keepalives for which a parent may be behind or without a way to a control.
-const PATIENCE_KEEPALIVES: u32 = 2;
-/// Keepalives for which a parent that was left is not tried again.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// Time for which a parent is avoided after its link broke.
+const LINK_LOST_AVOID_TIME: Duration = Duration::from_millis(500);
+/// Silence after which an adopted parent is left, in half keepalive periods.
+const SILENCE_HALF_KEEPALIVES: u32 = 5;
+/// Keepalive periods for which a parent may be stale or have no path to a control.
+const DEGRADED_KEEPALIVES: u32 = 2;
+/// Keepalive periods for which a former parent is avoided.
 const AVOID_KEEPALIVES: u32 = 6;
 
-/// Why a parent was left.
+/// Why a node left its parent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// It did not answer.
+    /// The parent did not answer.
     Silent,
-    /// The link to it broke.
+    /// The link to the parent broke.
     LinkLost,
-    /// It stayed behind what is held here.
+    /// The parent stayed behind the version in force here.
     Stale,
-    /// It had no way to a control.
+    /// The parent had no path to a control.
     Unrooted,
-    /// It is fed from here.
+    /// The parent is a descendant of this node.
     Loop,
 }
 
 impl LeaveReason {
-    /// The word in logs and status.
+    /// Returns the name used in logs and on the timeline.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -59,33 +59,33 @@
     }
 }
 
-/// The parent and the search for one.
+/// The parent, and the search for one.
 #[derive(Debug, Clone, Default)]
 pub struct ParentState {
-    /// Peers address of the parent, adopted by it or not yet.
+    /// Peer address of the parent, or of the process that has been asked to become the parent.
     pub address: Option<SocketAddr>,
-    /// Whether the parent has answered.
+    /// Whether the parent has adopted this node.
     pub is_adopted: bool,
-    /// Processes from a control down to the parent.
+    /// Name digests of the processes on the path from a control down to the parent.
     path: Vec<u32>,
-    heard: time::MonotonicTime,
-    told: time::MonotonicTime,
-    stale: Option<time::MonotonicTime>,
-    unrooted: Option<time::MonotonicTime>,
-    next_try: time::MonotonicTime,
-    tries: u32,
-    hints: Vec<SocketAddr>,
+    last_heard: time::MonotonicTime,
+    last_keepalive_at: time::MonotonicTime,
+    stale_since: Option<time::MonotonicTime>,
+    unrooted_since: Option<time::MonotonicTime>,
+    next_attempt: time::MonotonicTime,
+    attempts: u32,
+    candidates: Vec<SocketAddr>,
     avoided: IndexMap<SocketAddr, time::MonotonicTime>,
 }
 
-/// Four bytes of a name's digest, for paths.
-pub fn path_mark(name: &ids::InstanceName) -> u32 {
+/// Returns the lower four bytes of a name's short digest, which identify a process in a path.
+pub fn path_id(name: &ids::InstanceName) -> u32 {
     table::name_digest(name.as_str()).0 as u32
 }
 
-/// Processes from a control down to this one; empty without a way to a control.
+/// Returns the path from a control down to this process; empty if there is none.
 pub fn path_from_control(state: &reducer::EngineState) -> Vec<u32> {
-    let own = path_mark(&state.settings.identity.instance);
+    let own = path_id(&state.settings.identity.instance);
     if state.settings.identity.is_control {
         return vec![own];
     }
@@ -102,43 +102,47 @@
     settings::millis(state.settings.tunables.dissemination.keepalive_ms)
 }
 
-/// Takes the passing of time.
+/// Advances timers: leaves a faulty parent, sends keepalives or searches for a parent.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let now = state.now;
-    let period = keepalive_period(state);
+    let keepalive = keepalive_period(state);
     let parent = &mut state.dissemination.parent;
     parent.avoided.retain(|_, until| *until > now);
     let Some(address) = parent.address else {
-        return find(state, output);
+        return try_candidate(state, output);
     };
-    let patience = if parent.is_adopted {
-        period * SILENT_HALF_KEEPALIVES / 2
+    let silence_limit = if parent.is_adopted {
+        keepalive * SILENCE_HALF_KEEPALIVES / 2
     } else {
-        period
+        keepalive
     };
-    let lasts = |since: Option<time::MonotonicTime>| {
-        since.is_some_and(|since| now.since(since) > period * PATIENCE_KEEPALIVES)
+    let is_overdue = |since: Option<time::MonotonicTime>| {
+        since.is_some_and(|since| now.since(since) > keepalive * DEGRADED_KEEPALIVES)
     };
-    if now.since(parent.heard) > patience {
+    if now.since(parent.last_heard) > silence_limit {
         leave(state, LeaveReason::Silent, output);
-    } else if lasts(parent.stale) {
+    } else if is_overdue(parent.stale_since) {
         leave(state, LeaveReason::Stale, output);
-    } else if lasts(parent.unrooted) {
+    } else if is_overdue(parent.unrooted_since) {
         leave(state, LeaveReason::Unrooted, output);
-    } else if now.since(parent.told) >= period {
-        tell(state, address, output);
+    } else if now.since(parent.last_keepalive_at) >= keepalive {
+        send_keepalive(state, address, output);
     }
 }
 
-fn tell(state: &mut reducer::EngineState, to: SocketAddr, output: &mut event::ReducerOutput) {
-    state.dissemination.parent.told = state.now;
+fn send_keepalive(
+    state: &mut reducer::EngineState,
+    to: SocketAddr,
+    output: &mut event::ReducerOutput,
+) {
+    state.dissemination.parent.last_keepalive_at = state.now;
     let report = report::build(state, to);
     dissemination::send(output, to, wire::DisseminationMessage::Keepalive(report));
 }
 
-fn find(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
-    let is_off = state.settings.tunables.dissemination.heads == 0;
-    if is_off || state.now < state.dissemination.parent.next_try {
+fn try_candidate(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
+    let is_tree_disabled = state.settings.tunables.dissemination.heads == 0;
+    if is_tree_disabled || state.now < state.dissemination.parent.next_attempt {
         return;
     }
     let now = state.now;
@@ -147,30 +151,30 @@
     };
     let parent = &mut state.dissemination.parent;
     parent.address = Some(address);
-    parent.heard = now;
-    tell(state, address, output);
+    parent.last_heard = now;
+    send_keepalive(state, address, output);
 }
 
 fn next_candidate(state: &mut reducer::EngineState) -> Option<SocketAddr> {
     let own = state.settings.identity.address;
     let parent = &mut state.dissemination.parent;
-    while let Some(hint) = parent.hints.pop() {
-        if hint != own && !parent.avoided.contains_key(&hint) {
-            return Some(hint);
+    while let Some(candidate) = parent.candidates.pop() {
+        if candidate != own && !parent.avoided.contains_key(&candidate) {
+            return Some(candidate);
         }
     }
-    let tries = parent.tries as usize;
+    let attempts = parent.attempts as usize;
     let avoided = parent.avoided.clone();
-    let mut controls = controls(state);
+    let mut controls = preferred_controls(state);
     controls.retain(|address| !avoided.contains_key(address));
-    let asks_control = tries.is_multiple_of(2) && !controls.is_empty();
-    if asks_control {
-        return controls.get(tries / 2 % controls.len()).copied();
+    let prefers_control = attempts.is_multiple_of(2) && !controls.is_empty();
+    if prefers_control {
+        return controls.get(attempts / 2 % controls.len()).copied();
     }
-    let centre = &state.settings.identity.data_centre;
+    let data_centre = &state.settings.identity.data_centre;
     let is_usable = |identity: &&wire_membership::PeerIdentity| {
         identity.is_node
-            && identity.data_centre == *centre
+            && identity.data_centre == *data_centre
             && !avoided.contains_key(&identity.address)
             && state.membership.reachability(&identity.instance) == reach::Reachability::Reachable
     };
@@ -186,65 +190,65 @@
     chosen.or_else(|| controls.first().copied())
 }
 
-/// The controls in the order that this data centre prefers: its own first, then the same order at
-/// all of its nodes, so that together they ask one control for places.
-fn controls(state: &reducer::EngineState) -> Vec<SocketAddr> {
-    let centre = &state.settings.identity.data_centre;
+/// Returns the controls in this data centre's order of preference: those in the data centre first,
+/// then an order that is the same on all of its nodes, so that they all ask the same control.
+fn preferred_controls(state: &reducer::EngineState) -> Vec<SocketAddr> {
+    let data_centre = &state.settings.identity.data_centre;
     let known = state
         .membership
         .others()
         .map(|member| &member.record.identity);
     let near: Vec<SocketAddr> = known
-        .filter(|identity| identity.is_control && identity.data_centre == *centre)
+        .filter(|identity| identity.is_control && identity.data_centre == *data_centre)
         .map(|identity| identity.address)
         .collect();
-    let seed = u64::from(table::centre_digest(centre));
+    let seed = u64::from(table::centre_digest(data_centre));
     let contacts = state.settings.control.iter().copied();
     let mut controls: Vec<SocketAddr> = contacts.chain(state.membership.controls()).collect();
     controls.sort_unstable();
     controls.dedup();
     controls.sort_by_key(|address| {
-        let place = table::name_digest(&address.to_string()).0;
-        (!near.contains(address), table::mix(place ^ seed))
+        let address_digest = table::name_digest(&address.to_string()).0;
+        (!near.contains(address), table::mix(address_digest ^ seed))
     });
     controls
 }
 
 fn back_off(state: &mut reducer::EngineState) {
     let parent = &mut state.dissemination.parent;
-    let longest = FIRST_BACKOFF * 2_u32.pow(parent.tries.min(MOST_DOUBLINGS));
-    let longest = longest.min(LONGEST_BACKOFF);
-    parent.tries += 1;
-    parent.next_try = state.now + longest.mul_f64(state.random.random_range(0.0..1.0));
+    let longest = INITIAL_BACKOFF * 2_u32.pow(parent.attempts.min(MAX_BACKOFF_DOUBLINGS));
+    let longest = longest.min(MAX_BACKOFF);
+    parent.attempts += 1;
+    parent.next_attempt = state.now + longest.mul_f64(state.random.random_range(0.0..1.0));
 }
 
 fn leave(state: &mut reducer::EngineState, reason: LeaveReason, output: &mut event::ReducerOutput) {
-    let pause = match reason {
-        LeaveReason::LinkLost => LINK_LOST_PAUSE,
+    let avoid_time = match reason {
+        LeaveReason::LinkLost => LINK_LOST_AVOID_TIME,
         _ => keepalive_period(state) * AVOID_KEEPALIVES,
     };
-    let until = state.now + pause;
+    let until = state.now + avoid_time;
     let parent = &mut state.dissemination.parent;
     let Some(address) = parent.address.take() else {
         return;
     };
     parent.avoided.insert(address, until);
-    forget_parent(parent);
+    clear_parent(parent);
     back_off(state);
     let effect = dissemination::DisseminationEffect::ParentLost { address, reason };
     output.effects.push(event::Effect::Dissemination(effect));
 }
 
-fn forget_parent(parent: &mut ParentState) {
+fn clear_parent(parent: &mut ParentState) {
     parent.address = None;
     parent.is_adopted = false;
     parent.path.clear();
-    parent.stale = None;
-    parent.unrooted = None;
+    parent.stale_since = None;
+    parent.unrooted_since = None;
 }
 
-/// Takes a parent's answer.
-pub fn take_mark(
+/// Handles a parent's answer to a keepalive.
+pub fn handle_mark(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     mark: wire::ParentMark,
@@ -256,7 +260,7 @@
     }
     if mark
         .path
-        .contains(&path_mark(&state.settings.identity.instance))
+        .contains(&path_id(&state.settings.identity.instance))
     {
         return leave(state, LeaveReason::Loop, output);
     }
@@ -265,22 +269,25 @@
     let parent = &mut state.dissemination.parent;
     let is_first = !parent.is_adopted;
     parent.is_adopted = true;
-    parent.heard = now;
-    parent.tries = 0;
-    parent.hints.clear();
-    parent.unrooted = mark.path.is_empty().then(|| parent.unrooted.unwrap_or(now));
-    parent.stale = is_stale.then(|| parent.stale.unwrap_or(now));
+    parent.last_heard = now;
+    parent.attempts = 0;
+    parent.candidates.clear();
+    parent.unrooted_since = mark
+        .path
+        .is_empty()
+        .then(|| parent.unrooted_since.unwrap_or(now));
+    parent.stale_since = is_stale.then(|| parent.stale_since.unwrap_or(now));
     parent.path = mark.path;
     if is_first || mark.wants_roster {
-        state.dissemination.reported.forget();
+        state.dissemination.last_report.request_roster();
     }
     if mark.wants_roster {
-        tell(state, from.address, output);
+        send_keepalive(state, from.address, output);
     }
 }
 
-/// Takes a refusal of a place, with others that may have one.
-pub fn take_redirect(
+/// Handles a refusal to adopt this node, with other processes that may have room.
+pub fn handle_redirect(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     addresses: Vec<SocketAddr>,
@@ -289,15 +296,15 @@
     if parent.address != Some(from.address) {
         return;
     }
-    forget_parent(parent);
+    clear_parent(parent);
     let is_usable = |address: &SocketAddr| !parent.avoided.contains_key(address);
-    parent.hints = addresses.into_iter().filter(is_usable).collect();
-    if parent.hints.is_empty() {
+    parent.candidates = addresses.into_iter().filter(is_usable).collect();
+    if parent.candidates.is_empty() {
         back_off(state);
     }
 }
 
-/// Leaves the parent if it is the one whose link broke.
+/// Leaves the parent if its link broke.
 pub fn link_lost(
     state: &mut reducer::EngineState,
     address: SocketAddr,
--- a/crates/engine/src/dissemination/pull.rs
+++ b/crates/engine/src/dissemination/pull.rs
@@ -1,5 +1,5 @@
-//! Taking a version from a node that is known by gossip to have it, when the parent does not bring
-//! it in time.
+//! Pulls a version from a process that advertises it by gossip, if the parent does not deliver it
+//! in time.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,28 +8,29 @@
 
 use crate::{dissemination, event, reducer, settings};
 
-/// After this long another question is asked.
+/// Time to wait for an answer before another request is sent.
 const PULL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same while this process holds no version and serves nobody.
-const FIRST_PULL_TIMEOUT: Duration = Duration::from_millis(250);
+/// The same while this process holds no version and cannot serve.
+const INITIAL_PULL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A later version that somebody has.
+/// The latest version advertised by another process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct NoticedVersion {
-    at: SocketAddr,
+struct AdvertisedVersion {
+    holder: SocketAddr,
     version: ids::CatalogueVersion,
-    since: time::MonotonicTime,
+    first_seen_at: time::MonotonicTime,
 }
 
-/// What is noticed and asked for.
+/// The advertised version and the outstanding request.
 #[derive(Debug, Clone, Default)]
 pub struct PullState {
-    noticed: Option<NoticedVersion>,
-    asked: Option<time::MonotonicTime>,
+    advertised: Option<AdvertisedVersion>,
+    requested_at: Option<time::MonotonicTime>,
 }
 
-/// Notes what another process has in force.
-pub fn notice(
+/// Records the version that another process advertises. Keeps the latest version, and the time
+/// since which a newer one than the local version has been known.
+pub fn observe(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     held: wire_membership::ShortMark,
@@ -37,24 +38,27 @@
     if state.settings.identity.is_control || held.version <= state.dissemination.version() {
         return;
     }
-    let noticed = state.dissemination.pulls.noticed;
-    let known = noticed.filter(|noticed| noticed.version > state.dissemination.version());
+    let advertised = state.dissemination.pull.advertised;
+    let known = advertised.filter(|advertised| advertised.version > state.dissemination.version());
     if known.is_some_and(|known| known.version > held.version) {
         return;
     }
-    state.dissemination.pulls.noticed = Some(NoticedVersion {
-        at: from.address,
+    state.dissemination.pull.advertised = Some(AdvertisedVersion {
+        holder: from.address,
         version: held.version,
-        since: known.map_or(state.now, |known| known.since),
+        first_seen_at: known.map_or(state.now, |known| known.first_seen_at),
     });
 }
 
-/// Takes the passing of time.
+/// Requests the advertised version once the parent's grace period is over.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let held = state.dissemination.version();
-    let pulls = &mut state.dissemination.pulls;
-    let Some(noticed) = pulls.noticed.filter(|noticed| noticed.version > held) else {
-        pulls.noticed = None;
+    let pull_state = &mut state.dissemination.pull;
+    let Some(advertised) = pull_state
+        .advertised
+        .filter(|advertised| advertised.version > held)
+    else {
+        pull_state.advertised = None;
         return;
     };
     let grace = if state.dissemination.parent.is_adopted {
@@ -63,24 +67,30 @@
         Duration::ZERO
     };
     let timeout = if held == ids::CatalogueVersion::default() {
-        FIRST_PULL_TIMEOUT
+        INITIAL_PULL_TIMEOUT
     } else {
         PULL_TIMEOUT
     };
-    let waits = |asked: time::MonotonicTime| state.now.since(asked) < timeout;
-    if state.now.since(noticed.since) < grace || pulls.asked.is_some_and(waits) {
+    let is_pending = |requested_at: time::MonotonicTime| state.now.since(requested_at) < timeout;
+    if state.now.since(advertised.first_seen_at) < grace
+        || pull_state.requested_at.is_some_and(is_pending)
+    {
         return;
     }
-    pulls.noticed = None;
-    pulls.asked = Some(state.now);
+    pull_state.advertised = None;
+    pull_state.requested_at = Some(state.now);
     let pull = wire::VersionPull {
         version: held,
         wants_snapshot: false,
     };
-    dissemination::send(output, noticed.at, wire::DisseminationMessage::Pull(pull));
+    dissemination::send(
+        output,
+        advertised.holder,
+        wire::DisseminationMessage::Pull(pull),
+    );
 }
 
-/// Forgets the question that was answered.
-pub fn answered(state: &mut reducer::EngineState) {
-    state.dissemination.pulls.asked = None;
+/// Clears the outstanding request after a version was accepted.
+pub fn clear_request(state: &mut reducer::EngineState) {
+    state.dissemination.pull.requested_at = None;
 }
--- a/crates/engine/src/dissemination/report.rs
+++ b/crates/engine/src/dissemination/report.rs
@@ -1,5 +1,5 @@
-//! Reports of what is in force: they add up along the tree, so that a control hears as many as it
-//! feeds nodes, whatever the size of the fleet.
+//! Reports of versions in force. They are aggregated along the tree, so that a control receives one
+//! report per child, whatever the size of the fleet.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 use hazeltiller_wire::{dissemination as wire, membership as wire_membership};
 
 use crate::{
-    dissemination::{self, feed},
+    dissemination::{self, child},
     event, reducer, settings,
 };
 
-/// Keepalives after which a subtree that does not follow is no longer waited for.
-const LAG_KEEPALIVES: u32 = 2;
+/// Keepalive periods after which a subtree that does not advance is left out of the report.
+const MAX_LAG_KEEPALIVES: u32 = 2;
 
-/// The report that was sent last.
+/// The last report sent to a parent.
 #[derive(Debug, Clone, Default)]
 pub struct SentReport {
     floor: ids::CatalogueVersion,
@@ -22,33 +22,34 @@
 }
 
 impl SentReport {
-    /// Has the next report carry the roster.
-    pub fn forget(&mut self) {
+    /// Includes the roster in the next report.
+    pub fn request_roster(&mut self) {
         self.fingerprint = None;
         self.floor = ids::CatalogueVersion::default();
     }
 }
 
-/// Children whose subtrees count: those that follow.
-fn counted(state: &reducer::EngineState) -> impl Iterator<Item = &feed::FedChild> {
+/// Returns the children whose subtrees are included in reports. Excludes those that lag for too
+/// long or have not caught up since they were adopted.
+fn responsive_children(state: &reducer::EngineState) -> impl Iterator<Item = &child::ChildRecord> {
     let keepalive = settings::millis(state.settings.tunables.dissemination.keepalive_ms);
-    let patience = keepalive * LAG_KEEPALIVES;
-    let follows = move |child: &&feed::FedChild| {
-        let lags = child.lags;
-        lags.is_none_or(|since| state.now.since(since) <= patience && since.0 > 0)
+    let longest_lag = keepalive * MAX_LAG_KEEPALIVES;
+    let is_responsive = move |child: &&child::ChildRecord| {
+        let lagging_since = child.lagging_since;
+        lagging_since.is_none_or(|since| state.now.since(since) <= longest_lag && since.0 > 0)
     };
-    state.dissemination.children.values().filter(follows)
+    state.dissemination.children.values().filter(is_responsive)
 }
 
-/// What the subtree below and with this process has in force, without the roster.
+/// Returns the report for the subtree rooted at this process, without the roster.
 pub fn subtree(state: &reducer::EngineState) -> wire::SubtreeReport {
     let own = state.dissemination.version();
-    let floors = counted(state).map(|child| child.floor);
+    let floors = responsive_children(state).map(|child| child.floor);
     let mut fingerprint = wire_membership::ShortDigest::default();
     if state.settings.identity.is_node {
-        fingerprint ^= feed::name_digest(&state.settings.identity.instance);
+        fingerprint ^= child::name_digest(&state.settings.identity.instance);
     }
-    for child in counted(state) {
+    for child in responsive_children(state) {
         fingerprint ^= child.fingerprint;
     }
     wire::SubtreeReport {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Exclusive or of the digests of names.
+/// Returns the exclusive or of name digests.
 pub fn fingerprint<'a>(
     roster: impl IntoIterator<Item = &'a wire_membership::ShortDigest>,
 ) -> wire_membership::ShortDigest {
@@ -69,43 +70,44 @@
     fingerprint
 }
 
-/// Digests of the names in the subtree.
+/// Returns the name digests of the nodes in the subtree.
 pub fn roster(state: &reducer::EngineState) -> Vec<wire_membership::ShortDigest> {
     let identity = &state.settings.identity;
     let own = identity
         .is_node
-        .then(|| feed::name_digest(&identity.instance));
-    let below = counted(state).flat_map(|child| child.roster.iter().copied());
+        .then(|| child::name_digest(&identity.instance));
+    let below = responsive_children(state).flat_map(|child| child.roster.iter().copied());
     own.into_iter().chain(below).collect()
 }
 
-/// The report for a parent; it carries the roster when that changed.
+/// Builds the report for a parent. It carries the roster only if the roster or the parent changed.
 pub fn build(state: &mut reducer::EngineState, to: SocketAddr) -> wire::ChildReport {
     let mut subtree = subtree(state);
     let fingerprint = Some((to, subtree.fingerprint));
-    if state.dissemination.reported.fingerprint != fingerprint {
+    if state.dissemination.last_report.fingerprint != fingerprint {
         subtree.roster = Some(roster(state));
     }
-    state.dissemination.reported = SentReport {
+    state.dissemination.last_report = SentReport {
         floor: subtree.floor,
         fingerprint,
     };
     wire::ChildReport {
-        held: dissemination::short_mark(state),
+        held: dissemination::version_summary(state),
         subtree,
     }
 }
 
-/// Reports to the parent at once when the whole subtree has reached a later version.
-pub fn reached(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
+/// Reports to the parent at once if the whole subtree has reached a later version. On a control,
+/// updates the convergence instead.
+pub fn send_progress(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     if state.settings.identity.is_control {
-        return dissemination::convergence::evaluate(state);
+        return dissemination::convergence::mark_converged(state);
     }
     let parent = &state.dissemination.parent;
     let Some(to) = parent.address.filter(|_| parent.is_adopted) else {
         return;
     };
-    if subtree(state).floor > state.dissemination.reported.floor {
+    if subtree(state).floor > state.dissemination.last_report.floor {
         let report = build(state, to);
         dissemination::send(output, to, wire::DisseminationMessage::Ack(report));
     }
--- a/crates/engine/src/dissemination/version.rs
+++ b/crates/engine/src/dissemination/version.rs
@@ -1,4 +1,5 @@
-//! Taking a version: whole, proven, never older; and the history that others catch up by.
+//! Accepts new versions, whole, verified and never older than the current one, and keeps the
+//! history from which other processes catch up.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -8,19 +9,20 @@
 
 use crate::{dissemination, event, reducer};
 
-/// Encoded steps that the history holds at most, in bytes.
-const HISTORY_BYTES: usize = 1 << 20;
-/// Steps that a delta holds at most: taking one costs a check of the whole catalogue.
-const LONGEST_DELTA: usize = 64;
-/// Steps from which on the sizes of delta and snapshot are weighed.
-const WEIGHED_FROM: usize = 4;
+/// Maximum size of the history, in bytes of encoded steps.
+const MAX_HISTORY_BYTES: usize = 1 << 20;
+/// Maximum number of steps in a delta. Applying a delta costs one validation of the whole catalogue
+/// per step.
+const MAX_DELTA_STEPS: usize = 64;
+/// Number of steps from which the encoded sizes of delta and snapshot are compared.
+const MIN_COMPARED_STEPS: usize = 4;
 
-/// The last changes, in order; the last one led to the version in force.
+/// The most recent changes in order; the last one produced the version in force.
 #[derive(Debug, Clone, Default)]
 pub struct VersionHistory {
     steps: VecDeque<delta::DeltaStep>,
     sizes: VecDeque<usize>,
-    weighed: Option<(ids::CatalogueVersion, usize)>,
+    snapshot_size: Option<(ids::CatalogueVersion, usize)>,
 }
 
 impl VersionHistory {
@@ -29,14 +31,14 @@
         self.sizes.clear();
     }
 
-    /// Adds steps and drops the oldest that are over the limits.
-    fn extend(&mut self, steps: Vec<delta::DeltaStep>, most_steps: usize) {
+    /// Appends steps and drops the oldest ones beyond the limits.
+    fn extend(&mut self, steps: Vec<delta::DeltaStep>, max_steps: usize) {
         for step in steps {
             self.sizes.push_back(codec::encoded_size(&step));
             self.steps.push_back(step);
         }
         let mut bytes: usize = self.sizes.iter().sum();
-        while self.steps.len() > most_steps || bytes > HISTORY_BYTES {
+        while self.steps.len() > max_steps || bytes > MAX_HISTORY_BYTES {
             self.steps.pop_front();
             let Some(size) = self.sizes.pop_front() else {
                 return;
@@ -46,22 +48,22 @@
     }
 }
 
-/// What brings a receiver up to date.
+/// An update that brings a receiver to the version in force.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CatchUp {
-    /// The changes that it misses.
+    /// The missing changes.
     Delta(delta::CatalogueDelta),
-    /// Everything.
+    /// The whole catalogue.
     Snapshot,
 }
 
-/// What brings a receiver from a version to the one in force: the changes if they are known and
-/// shorter than the whole.
+/// Chooses how to bring a receiver from a version to the one in force: a delta if the missing
+/// changes are in the history and smaller than a snapshot, else a snapshot.
 pub fn catch_up(state: &mut reducer::EngineState, from: ids::CatalogueVersion) -> CatchUp {
     let dissemination = &mut state.dissemination;
     let missing = (dissemination.in_force.version.0 - from.0) as usize;
     let history = &mut dissemination.history;
-    if missing > history.steps.len() || missing > LONGEST_DELTA {
+    if missing > history.steps.len() || missing > MAX_DELTA_STEPS {
         return CatchUp::Snapshot;
     }
     let first = history.steps.len() - missing;
@@ -70,12 +72,12 @@
         steps: history.steps.range(first..).cloned().collect(),
         digest: dissemination.in_force.digest,
     };
-    if missing >= WEIGHED_FROM {
-        let size = match history.weighed {
+    if missing >= MIN_COMPARED_STEPS {
+        let size = match history.snapshot_size {
             Some((version, size)) if version == dissemination.in_force.version => size,
             _ => codec::encode_body(dissemination.in_force.as_ref()).len(),
         };
-        history.weighed = Some((dissemination.in_force.version, size));
+        history.snapshot_size = Some((dissemination.in_force.version, size));
         if codec::encode_body(&delta).len() > size {
             return CatchUp::Snapshot;
         }
@@ -83,29 +85,30 @@
     CatchUp::Delta(delta)
 }
 
-/// Takes a version that this control's log has committed.
-pub fn take_committed(
+/// Accepts a version that this control's log has committed.
+pub fn apply_committed(
     state: &mut reducer::EngineState,
     committed: dissemination::CommittedVersion,
     output: &mut event::ReducerOutput,
 ) {
     let is_next = committed.state.version == state.dissemination.version().next();
     let steps = is_next.then(|| vec![committed.step]);
-    put_in_force(state, committed.state, steps, output);
+    activate(state, committed.state, steps, output);
 }
 
-/// Takes a version that this control's log came to without the changes that led to it.
-pub fn take_restored(
+/// Accepts a version that this control's log reached without the individual changes, by a snapshot.
+pub fn apply_restored(
     state: &mut reducer::EngineState,
     restored: catalogue_state::CatalogueState,
     output: &mut event::ReducerOutput,
 ) {
-    put_in_force(state, restored, None, output);
+    activate(state, restored, None, output);
 }
 
-/// Takes a delta. One that crossed another and begins too early is shortened; one that begins too
-/// late, or leads elsewhere than promised, is replaced by asking its sender again.
-pub fn take_delta(
+/// Handles a delta. Steps already applied are skipped, since deltas may cross on the way. If the
+/// base is ahead of the version in force, the sender is asked for the gap; if the result does not
+/// match its digest, for a snapshot.
+pub fn on_delta(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     mut delta: delta::CatalogueDelta,
@@ -120,21 +123,21 @@
         return;
     }
     if delta.base > held {
-        return ask_again(state, from, false, output);
+        return request_update(state, from, false, output);
     }
     delta.steps.drain(..(held.0 - delta.base.0) as usize);
     delta.base = held;
     match delta.apply(&state.dissemination.in_force) {
-        Ok(reached) => put_in_force(state, reached, Some(delta.steps), output),
-        Err(_unsound) => {
-            report_unsound(state, from, output);
-            ask_again(state, from, true, output);
+        Ok(updated) => activate(state, updated, Some(delta.steps), output),
+        Err(_invalid) => {
+            report_invalid(state, from, output);
+            request_update(state, from, true, output);
         }
     }
 }
 
-/// Takes a whole catalogue.
-pub fn take_snapshot(
+/// Handles a snapshot.
+pub fn on_snapshot(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     packed: &wire::PackedCatalogue,
@@ -152,13 +155,13 @@
                 && snapshot.is_sound()
                 && check::check_entries(&snapshot.entries).is_empty() =>
         {
-            put_in_force(state, snapshot, None, output);
+            activate(state, snapshot, None, output);
         }
-        _ => report_unsound(state, from, output),
+        _ => report_invalid(state, from, output),
     }
 }
 
-fn report_unsound(
+fn report_invalid(
     state: &reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     output: &mut event::ReducerOutput,
@@ -170,7 +173,7 @@
     output.effects.push(event::Effect::Dissemination(effect));
 }
 
-fn ask_again(
+fn request_update(
     state: &reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     wants_snapshot: bool,
@@ -184,30 +187,30 @@
     dissemination::send(output, from.address, message);
 }
 
-/// Swaps a whole version in, unless it is not newer than the one in force or below the floor, and
-/// passes it on. Without the steps that led to it the history begins anew.
-fn put_in_force(
+/// Puts a version in force, unless it is not newer than the current one or is below the version
+/// floor, and passes it on. Without the steps that led to it, the history is cleared.
+fn activate(
     state: &mut reducer::EngineState,
-    reached: catalogue_state::CatalogueState,
+    updated: catalogue_state::CatalogueState,
     steps: Option<Vec<delta::DeltaStep>>,
     output: &mut event::ReducerOutput,
 ) {
-    let is_newer = reached.version > state.dissemination.version();
-    if !is_newer || !state.dissemination.floor.allows(reached.version) {
+    let is_newer = updated.version > state.dissemination.version();
+    if !is_newer || !state.dissemination.floor.allows(updated.version) {
         return;
     }
-    let longest = state.settings.tunables.dissemination.history_steps as usize;
+    let history_limit = state.settings.tunables.dissemination.history_steps as usize;
     let history = &mut state.dissemination.history;
     match steps {
-        Some(steps) => history.extend(steps, longest),
+        Some(steps) => history.extend(steps, history_limit),
         None => history.clear(),
     }
-    state.dissemination.in_force = Arc::new(reached);
+    state.dissemination.in_force = Arc::new(updated);
     let effect = dissemination::DisseminationEffect::InForce {
         state: Arc::clone(&state.dissemination.in_force),
     };
     output.effects.push(event::Effect::Dissemination(effect));
-    dissemination::pull::answered(state);
-    dissemination::feed::feed_all(state, output);
-    dissemination::report::reached(state, output);
+    dissemination::pull::clear_request(state);
+    dissemination::child::update_all(state, output);
+    dissemination::report::send_progress(state, output);
 }
--- a/crates/engine/src/membership/gossip.rs
+++ b/crates/engine/src/membership/gossip.rs
@@ -86,7 +86,7 @@
 fn outline(state: &reducer::EngineState) -> wire::GossipMessage {
     wire::GossipMessage {
         table: state.membership.table_digest(),
-        held: dissemination::short_mark(state),
+        held: dissemination::version_summary(state),
         ages: reach::ages(state),
         ..wire::GossipMessage::default()
     }
@@ -251,7 +251,7 @@
     for suspicion in gossip.suspicions {
         reach::take_suspicion(state, suspicion);
     }
-    dissemination::notice(state, from, gossip.held);
+    dissemination::observe_version(state, from, gossip.held);
     if gossip.table != state.membership.table_digest() {
         sync::begin(state, &[from.address], output);
     }
--- a/crates/engine/tests/dissemination.rs
+++ b/crates/engine/tests/dissemination.rs
@@ -1,6 +1,7 @@
-//! Dissemination among reducers on a fake network: each fault of the way down to the nodes.
+//! Tests dissemination among reducers on a simulated network, one fault at a time.
 //!
-//! The fleet itself checks that no version falls and no route dangles.
+//! `ReducerFleet` checks after every step that no version decreases and that no route refers to a
+//! missing service.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,9 +13,9 @@
 const CENTRES: [&str; 2] = ["brasov-a", "sibiu-a"];
 const CONTROLS: [(&str, &str); 3] = [("c-0", "brasov-a"), ("c-1", "sibiu-a"), ("c-2", "brasov-a")];
 const ALL_CONTROLS: [&str; 3] = ["c-0", "c-1", "c-2"];
-const LONG: Duration = Duration::from_secs(30);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A fleet with nodes in two data centres that all hold the second version.
+/// Returns a fleet with nodes in two data centres that all hold version 2.
 fn settled_fleet(seed: u64, nodes: usize) -> (reducers::ReducerFleet, Vec<String>) {
     let mut fleet =
         reducers::ReducerFleet::new(seed, settings::EngineTunables::default(), &CONTROLS);
@@ -25,8 +26,8 @@
     fleet.accept(entries::base(), &ALL_CONTROLS);
     fleet.accept(entries::put_pairs(&["registru", "arhiva"]), &ALL_CONTROLS);
     assert!(
-        fleet.run_until(LONG, |fleet| fleet.has_all(&names)),
-        "the fleet starts"
+        fleet.run_until(SETTLE_TIMEOUT, |fleet| fleet.has_all(&names)),
+        "every node reaches version 2"
     );
     fleet.run(Duration::from_secs(10));
     (fleet, names)
@@ -36,12 +37,12 @@
     fleet.accept(entries::put_slots("registru", slots), &ALL_CONTROLS)
 }
 
-fn assert_settles(fleet: &mut reducers::ReducerFleet, names: &[String], longest: Duration) {
-    let has_all = fleet.run_until(longest, |fleet| fleet.has_all(names));
-    assert!(has_all, "all reachable nodes reach the last version");
+fn assert_settles(fleet: &mut reducers::ReducerFleet, names: &[String], timeout: Duration) {
+    let has_all = fleet.run_until(timeout, |fleet| fleet.has_all(names));
+    assert!(has_all, "every reachable node reaches the latest version");
 }
 
-/// A relay: a node with children.
+/// Returns the node with the most children.
 fn relay(fleet: &reducers::ReducerFleet) -> String {
     let nodes = fleet.running_nodes();
     let children = |name: &&String| fleet.processes[*name].state.dissemination.children.len();
@@ -75,10 +76,10 @@
     for process in fleet.processes.values() {
         let children = process.state.dissemination.children.values();
         for centre in CENTRES {
-            let is_there = |child: &&dissemination::feed::FedChild| {
+            let is_in_centre = |child: &&dissemination::child::ChildRecord| {
                 child.identity.data_centre.as_str() == centre
             };
-            assert!(children.clone().filter(is_there).count() <= fan_out);
+            assert!(children.clone().filter(is_in_centre).count() <= fan_out);
         }
     }
     for name in &names {
@@ -98,7 +99,7 @@
             change_slots(&mut fleet, slots);
             fleet.run(Duration::from_millis(70));
         }
-        assert_settles(&mut fleet, &names, LONG);
+        assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
     }
 }
 
@@ -122,21 +123,21 @@
     };
     let forged = ids::StateDigest([7; 32]);
     let cases = [
-        ("a digest that does not fit", delta(2, 1, forged)),
+        ("a digest that does not match", delta(2, 1, forged)),
         ("a base that is ahead", delta(5, 1, reached.digest)),
         (
             "a base and an end that are behind",
             delta(0, 1, reached.digest),
         ),
         ("no step", delta(2, 0, held.digest)),
-        ("a base at the end of numbers", delta(u64::MAX, 3, forged)),
+        ("a base at the maximum", delta(u64::MAX, 3, forged)),
     ];
-    for (what, delta) in cases {
+    for (case, delta) in cases {
         let message = wire::DisseminationMessage::Delta(delta);
         fleet.tell(&name, received(parent.clone(), message));
         fleet.run(Duration::from_secs(3));
         let in_force = &fleet.processes[&name].state.dissemination.in_force;
-        assert_eq!(**in_force, *held, "{what} changes nothing");
+        assert_eq!(**in_force, *held, "{case} changes nothing");
     }
     let mut dangling = reached.clone();
     dangling
@@ -150,7 +151,7 @@
         held.digest
     );
     change_slots(&mut fleet, 9);
-    assert_settles(&mut fleet, &names, LONG);
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
 #[test]
@@ -169,7 +170,7 @@
         };
         let next = states
             .last()
-            .expect("one is there")
+            .expect("the list is not empty")
             .apply(&step.set, step.term);
         states.push(next.expect("the change is valid"));
         steps.push(step);
@@ -187,7 +188,8 @@
             wire::DisseminationMessage::Snapshot(wire::PackedCatalogue::pack(&states[index]));
         received(parent.clone(), message)
     };
-    // A snapshot overtakes deltas, an old snapshot comes late, a delta overlaps what is held.
+    // A snapshot overtakes deltas, an outdated snapshot arrives late, and a delta overlaps the
+    // steps already applied.
     for (event, version) in [
         (delta(0, 1), 3),
         (snapshot(2), 4),
@@ -218,7 +220,7 @@
             .values()
             .any(|child| child.identity.instance.as_str() == relay)
     });
-    assert_eq!(fed.count(), 0, "the silent relay is fed by nobody");
+    assert_eq!(fed.count(), 0, "no process has the silent relay as a child");
     let view = convergence::view(&fleet.processes["c-0"].state, fleet.accepted.version);
     let view = view.expect("the control has the version");
     let behind: Vec<&str> = view
@@ -226,21 +228,22 @@
         .iter()
         .map(|node| node.instance.as_str())
         .collect();
-    assert_eq!(behind, [relay.as_str()], "it is named, and nobody else");
+    assert_eq!(behind, [relay.as_str()], "only the relay is behind");
     assert_eq!(view.in_force_everywhere_at_ms, None);
     fleet.cut(|_, _| false);
-    let everywhere = fleet.run_until(LONG, |fleet| {
+    let everywhere = fleet.run_until(SETTLE_TIMEOUT, |fleet| {
         let state = &fleet.processes["c-0"].state;
         let view = convergence::view(state, fleet.accepted.version);
         view.is_some_and(|view| view.in_force_everywhere_at_ms.is_some() && view.behind.is_empty())
     });
-    assert!(everywhere, "all controls' reports add up again");
+    assert!(everywhere, "every node is reported again");
 }
 
 #[test]
 fn stale_control() {
     let (mut fleet, names) = settled_fleet(40, 8);
-    // One control is cut off from the other two and, with its data centre, believes it is current.
+    // One control is partitioned from the other two but not from the nodes. It cannot tell that it
+    // is out of date.
     fleet.cut(|from, to| {
         let is_stale = |identity: &membership::PeerIdentity| identity.instance.as_str() == "c-1";
         is_stale(from) && to.is_control || is_stale(to) && from.is_control
@@ -249,13 +252,13 @@
         fleet.accept(entries::put_slots("registru", slots), &["c-0", "c-2"]);
         fleet.run(Duration::from_millis(300));
     }
-    assert_settles(&mut fleet, &names, LONG);
-    // Now only that control and its data centre's nodes reach a node that restarts.
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
+    // Now only the outdated control and the nodes of its data centre reach a node that restarts.
     fleet.cut(|from, to| {
-        let is_far = |identity: &membership::PeerIdentity| {
+        let is_majority_control = |identity: &membership::PeerIdentity| {
             matches!(identity.instance.as_str(), "c-0" | "c-2")
         };
-        is_far(from) || is_far(to)
+        is_majority_control(from) || is_majority_control(to)
     });
     for name in names.iter().filter(|name| name.starts_with("sibiu-a")) {
         fleet.kill(name);
@@ -265,9 +268,9 @@
         let floor = &fleet.processes[name].state.dissemination.floor;
         assert!(
             !floor.is_known(),
-            "one control's word is not enough for {name}"
+            "the answer of one control must not set the floor of {name}"
         );
-        assert_settles(&mut fleet, std::slice::from_ref(name), LONG);
+        assert_settles(&mut fleet, std::slice::from_ref(name), SETTLE_TIMEOUT);
     }
 }
 
@@ -276,14 +279,14 @@
     let (mut fleet, names) = settled_fleet(42, 4);
     let name = names[1].clone();
     fleet.kill(&name);
-    // Two followers that have not heard of the last commit answer, the leader does not.
+    // Two followers that have not heard of the last commit answer; the leader does not.
     fleet.accept(entries::put_slots("registru", 4), &["c-0"]);
     fleet.cut(reducers::isolated(&["c-0"]));
     fleet.start(&name);
     fleet.run(Duration::from_secs(1));
     assert!(!fleet.processes[&name].state.dissemination.floor.is_known());
     fleet.cut(|_, _| false);
-    assert_settles(&mut fleet, &names, LONG);
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
 #[test]
@@ -320,14 +323,14 @@
         .dissemination
         .floor
         .waiting_reason(state)
-        .expect("it waits");
+        .expect("the node is waiting");
     assert!(reason.contains("no control answers"), "{reason}");
-    // The stale control alone may not end the wait.
+    // The outdated control alone must not end the wait.
     fleet.accept(entries::put_slots("registru", 4), &["c-0", "c-2"]);
-    let own = name.clone();
+    let restarted_name = name.clone();
     fleet.cut(move |from, to| {
         let names = [from.instance.as_str(), to.instance.as_str()];
-        names.contains(&own.as_str()) && !names.contains(&"c-1")
+        names.contains(&restarted_name.as_str()) && !names.contains(&"c-1")
     });
     fleet.run(Duration::from_secs(20));
     let state = &fleet.processes[&name].state;
@@ -336,50 +339,54 @@
         .dissemination
         .floor
         .waiting_reason(state)
-        .expect("it waits");
+        .expect("the node is waiting");
     assert!(reason.contains("majority"), "{reason}");
     fleet.cut(|_, _| false);
-    assert_settles(&mut fleet, &names, LONG);
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
 #[test]
-fn herd_returns() {
+fn mass_restart() {
     let (mut fleet, names) = settled_fleet(50, 20);
-    let (herd, second) = names.split_at(20);
-    for name in herd {
+    let (first_centre, second_centre) = names.split_at(20);
+    for name in first_centre {
         fleet.kill(name);
     }
     fleet.kill("c-0");
     change_slots(&mut fleet, 2);
     fleet.run(Duration::from_millis(400));
-    for name in herd {
+    for name in first_centre {
         fleet.start(name);
     }
     fleet.run(Duration::from_millis(200));
-    for name in second {
+    for name in second_centre {
         fleet.kill(name);
     }
     fleet.run(Duration::from_millis(500));
-    for name in second {
+    for name in second_centre {
         fleet.start(name);
     }
     fleet.start("c-0");
-    assert_settles(&mut fleet, &names, LONG);
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
     change_slots(&mut fleet, 8);
-    assert_settles(&mut fleet, &names, LONG);
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
-/// Nodes that are not fed from here ask for the whole catalogue and never say that they have it. They do not
-/// keep others from it for seconds.
+/// Nodes that are not children request snapshots and never acknowledge them. They must not use up
+/// the limit on snapshots in flight for seconds.
 #[test]
-fn strangers_hold_no_place() {
+fn unattached_nodes_expire() {
     let (mut fleet, names) = settled_fleet(70, 2);
     fleet.counts_bytes = true;
     fleet.clear_counts();
     let name = names[0].clone();
-    let pull = |fleet: &mut reducers::ReducerFleet, stranger: u16| {
-        let mut from = node::identity(&format!("stranger-{stranger}"), "brasov-a", "ro-centru");
-        from.address = SocketAddr::from(([127, 0, 9, 9], stranger));
+    let pull = |fleet: &mut reducers::ReducerFleet, node_number: u16| {
+        let mut from = node::identity(
+            &format!("unattached-{node_number}"),
+            "brasov-a",
+            "ro-centru",
+        );
+        from.address = SocketAddr::from(([127, 0, 9, 9], node_number));
         let pull = wire::VersionPull {
             version: ids::CatalogueVersion(0),
             wants_snapshot: true,
@@ -393,8 +400,14 @@
         sent.get(&message::ByteReason::Snapshot)
             .map_or(0, |(frames, _)| *frames)
     };
-    let at_once: Vec<u64> = (1..=6).map(|stranger| pull(&mut fleet, stranger)).collect();
-    assert_eq!(at_once, [1, 2, 3, 4, 4, 4], "only a few at once");
+    let sent_counts: Vec<u64> = (1..=6)
+        .map(|node_number| pull(&mut fleet, node_number))
+        .collect();
+    assert_eq!(
+        sent_counts,
+        [1, 2, 3, 4, 4, 4],
+        "snapshots in flight are limited"
+    );
     fleet.run(Duration::from_millis(300));
     assert_eq!(pull(&mut fleet, 7), 5);
 }
@@ -410,9 +423,9 @@
     }
     fleet.cut(|_, _| false);
     fleet.counts_bytes = true;
-    assert_settles(&mut fleet, &names, LONG);
-    let whole = hazeltiller_wire::codec::encode_body(&fleet.accepted).len() as u64;
-    let catching_up: u64 = fleet
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
+    let snapshot_bytes = hazeltiller_wire::codec::encode_body(&fleet.accepted).len() as u64;
+    let catch_up_bytes: u64 = fleet
         .processes
         .values()
         .flat_map(|process| &process.sent)
@@ -425,8 +438,8 @@
         .map(|(_, (_, bytes))| bytes)
         .sum();
     assert!(
-        catching_up < 4 * whole,
-        "{catching_up} bytes, the catalogue has {whole}"
+        catch_up_bytes < 4 * snapshot_bytes,
+        "{catch_up_bytes} bytes sent, a snapshot has {snapshot_bytes}"
     );
 }
 
@@ -440,24 +453,25 @@
         let pair = entries::put_pairs(&[name]);
         fleet.accept(pair, &ALL_CONTROLS);
         fleet.run(Duration::from_millis(30));
-        let too_early = entries::remove("service", name);
+        let premature_removal = entries::remove("service", name);
         assert!(
-            !fleet.accepted.check(&too_early).is_empty(),
+            !fleet.accepted.check(&premature_removal).is_empty(),
             "the route still refers to it"
         );
         fleet.accept(entries::remove("route", name), &ALL_CONTROLS);
         fleet.run(Duration::from_millis(15));
-        fleet.accept(too_early, &ALL_CONTROLS);
+        fleet.accept(premature_removal, &ALL_CONTROLS);
         fleet.run(Duration::from_millis(30));
     }
-    assert_settles(&mut fleet, &names, LONG);
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
 #[test]
-fn centres_parted() {
+fn partitioned_centres() {
     let (mut fleet, names) = settled_fleet(80, 8);
-    let own = |identity: &membership::PeerIdentity| identity.data_centre.as_str() == "sibiu-a";
-    fleet.cut(move |from, to| own(from) != own(to));
+    let is_isolated =
+        |identity: &membership::PeerIdentity| identity.data_centre.as_str() == "sibiu-a";
+    fleet.cut(move |from, to| is_isolated(from) != is_isolated(to));
     for slots in 1..120 {
         fleet.accept(entries::put_slots("registru", slots), &["c-0", "c-2"]);
         fleet.run(Duration::from_secs(1));
@@ -466,21 +480,21 @@
     assert_eq!(
         held,
         ids::CatalogueVersion(2),
-        "the part that is cut off keeps what it has"
+        "the isolated part keeps its version"
     );
     fleet.cut(|_, _| false);
-    assert_settles(&mut fleet, &names, LONG);
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
 #[test]
-fn source_away() {
+fn controls_down() {
     let (mut fleet, names) = settled_fleet(90, 8);
     let name = names[4].clone();
-    let cut_off = name.clone();
+    let isolated_name = name.clone();
     fleet.cut(move |from, to| {
         [&from.instance, &to.instance]
             .iter()
-            .any(|instance| instance.as_str() == cut_off)
+            .any(|instance| instance.as_str() == isolated_name)
     });
     change_slots(&mut fleet, 4);
     fleet.run(Duration::from_secs(2));
@@ -488,7 +502,7 @@
         fleet.kill(control);
     }
     fleet.cut(|_, _| false);
-    assert_settles(&mut fleet, std::slice::from_ref(&name), LONG);
+    assert_settles(&mut fleet, std::slice::from_ref(&name), SETTLE_TIMEOUT);
     let address: Option<SocketAddr> = fleet.processes[&name].state.dissemination.parent.address;
     let controls = &fleet.processes["c-0"].state.settings.control;
     assert!(address.is_none_or(|address| !controls.contains(&address)));
@@ -502,5 +516,5 @@
     let mut names = fleet.add_nodes("brasov-a", 12);
     names.extend(fleet.add_nodes("sibiu-a", 12));
     fleet.accept(entries::base(), &ALL_CONTROLS);
-    assert_settles(&mut fleet, &names, LONG);
+    assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
