--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -319,10 +319,14 @@
                     patience_ms: plan.offer.patience_ms,
                     version: plan
                         .candidate
-                        .trial
+                        .rollout_cohort
                         .as_ref()
                         .map(|(version, _)| version.clone()),
-                    cohort: plan.candidate.trial.as_ref().map(|(_, cohort)| *cohort),
+                    cohort: plan
+                        .candidate
+                        .rollout_cohort
+                        .as_ref()
+                        .map(|(_, cohort)| *cohort),
                 });
             }
             calls::CallEffect::Run(call, plan) => {
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -142,7 +142,7 @@
     let slots = slots(state, target);
     let now = state.now;
     let service = &state.membership.targets.get(target)?.record.service;
-    let last_rank = state.routing.routes.last_rank(service);
+    let last_rank = state.routing.routes.max_rank(service);
     let admission = state.admission.targets.get_mut(target)?;
     if admission.running >= slots {
         return None;
--- a/crates/engine/src/admission/urgency.rs
+++ b/crates/engine/src/admission/urgency.rs
@@ -39,6 +39,6 @@
 pub(super) fn is_bounded(state: &reducer::EngineState, offer: &wire::CallOffer) -> bool {
     let catalogue = &state.dissemination.in_force;
     let rank = catalogue.class(&offer.class).map(|class| class.rank);
-    let last = state.routing.routes.last_rank(&offer.service);
+    let last = state.routing.routes.max_rank(&offer.service);
     rank >= last
 }
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -160,7 +160,7 @@
 fn attempt(
     state: &mut reducer::EngineState,
     call: ids::CallId,
-    prefers_away: bool,
+    prefers_other_centres: bool,
     output: &mut event::ReducerOutput,
 ) -> bool {
     let Some(record) = state.calls.ingress.get(&call) else {
@@ -168,11 +168,11 @@
     };
     let (service, tried) = (record.terms.service.clone(), record.tried.clone());
     let route = record.terms.route.clone();
-    let mut request = routing::ChoiceRequest {
+    let mut request = routing::SelectionRequest {
         service: &service,
         spill: record.spill,
         tried: &tried,
-        prefers_away,
+        prefers_other_centres,
         route: &route,
         cohort: record.cohort,
     };
@@ -204,7 +204,7 @@
     let times = terms::TryTimes {
         attempt: record.arrived_attempt + tries,
         deadline_left: record.deadline.since(now),
-        latency_left: reachable(record.latency_until.since(now), candidate.shortest_run),
+        latency_left: reachable(record.latency_until.since(now), candidate.shortest_run_time),
         patience: candidate.patience.filter(|_| has_places_left),
     };
     let offer = record.terms.offer(candidate.target.clone(), times);
@@ -221,8 +221,8 @@
 
 /// What is left of the target latency, or nothing where not even the fastest of the targets compared
 /// answers within it.
-fn reachable(left: Duration, shortest_run: Option<Duration>) -> Duration {
-    if shortest_run.is_some_and(|run| run > left) {
+fn reachable(left: Duration, shortest_run_time: Option<Duration>) -> Duration {
+    if shortest_run_time.is_some_and(|run| run > left) {
         Duration::ZERO
     } else {
         left
@@ -246,13 +246,13 @@
         .is_some_and(|target| state.membership.targets.contains_key(target));
     if !is_own && is_given_back(&result) {
         let took = state.now.since(record.tried_at);
-        state.routing.offer_cost.note(took);
+        state.routing.offer_cost.record(took);
     }
     if let Some(target) = target {
         learn(state, &terms, &target, &result, report.load);
     }
     if report.bytes > 0 {
-        state.routing.sizes.note(&terms.route, report.bytes);
+        state.routing.sizes.record(&terms.route, report.bytes);
     }
     let Some(proof) = retry::FailureProof::of(&result) else {
         earn(state, &terms, &result);
@@ -290,7 +290,7 @@
     state: &mut reducer::EngineState,
     call: ids::CallId,
     proof: retry::FailureProof,
-    prefers_away: bool,
+    prefers_other_centres: bool,
     output: &mut event::ReducerOutput,
 ) -> bool {
     let now = state.now;
@@ -324,7 +324,7 @@
     }
     record.placements += u32::from(question.is_placement);
     record.may_have_run |= proof == retry::FailureProof::MayHaveRun;
-    let is_tried = attempt(state, call, prefers_away, output);
+    let is_tried = attempt(state, call, prefers_other_centres, output);
     if !is_tried && is_paid {
         let tunables = &state.settings.tunables.retry;
         state.retry.budget(&terms, tunables).give_back();
@@ -349,7 +349,7 @@
     };
     if let Some(load) = load {
         let routing = &mut state.routing;
-        routing.take_report(&terms.service, &terms.route, target, load, now);
+        routing.record_load_report(&terms.service, &terms.route, target, load, now);
     }
     let Some(view) = state.routing.views.get_mut(target) else {
         return;
--- a/crates/engine/src/health/ejection.rs
+++ b/crates/engine/src/health/ejection.rs
@@ -96,7 +96,7 @@
     spill: bool,
 ) -> IndexSet<usize> {
     let is_permitted = |target: &&table::ReadyTarget| {
-        target.is_reachable && (spill || target.distance == table::TargetDistance::SameCentre)
+        target.is_reachable && (spill || target.distance == table::TargetDistance::SameDataCentre)
     };
     let health = |target: &table::ReadyTarget| {
         let view = state.routing.views.get(&target.target);
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -169,7 +169,7 @@
         }
         rollout::RolloutPhase::Trial => {
             table::refresh(state);
-            let share = share.min(state.routing.table.trial_share(service));
+            let share = share.min(state.routing.table.max_trial_share(service));
             let is_tried = state.random.random_bool(share.clamp(0.0, 1.0));
             if !is_tried || !is_guided(state, service, within_ms) {
                 cohort::CallCohort::Present
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -42,9 +42,9 @@
     /// Longest wait for which no other target is better; absent: any.
     pub patience: Option<Duration>,
     /// Shortest time of a run among the targets that it was compared with, where one is known.
-    pub shortest_run: Option<Duration>,
+    pub shortest_run_time: Option<Duration>,
     /// Its version and its part in the service's roll-out, where one is under way.
-    pub trial: Option<(ids::SoftwareVersion, cohort::TargetCohort)>,
+    pub rollout_cohort: Option<(ids::SoftwareVersion, cohort::TargetCohort)>,
 }
 
 /// A choice among a service's targets.
@@ -54,7 +54,7 @@
     place: usize,
     patience: Option<Duration>,
     /// Shortest time of a run among those compared.
-    shortest_run: Option<Duration>,
+    shortest_run_time: Option<Duration>,
 }
 
 impl TargetChoice {
@@ -63,14 +63,14 @@
         Self {
             place,
             patience: None,
-            shortest_run: None,
+            shortest_run_time: None,
         }
     }
 }
 
 /// What a target is chosen for.
 #[derive(Debug, Clone)]
-pub struct ChoiceRequest<'a> {
+pub struct SelectionRequest<'a> {
     /// Service that the call goes to.
     pub service: &'a ids::EntryName,
     /// Whether targets of other data centres may take it.
@@ -80,7 +80,7 @@
     /// Route that it takes.
     pub route: &'a ids::EntryName,
     /// Whether to look outside the own data centre first, since the own one is over a limit.
-    pub prefers_away: bool,
+    pub prefers_other_centres: bool,
     /// Which part of the service's targets may take it while a roll-out goes on.
     pub cohort: cohort::CallCohort,
 }
@@ -106,7 +106,7 @@
 
 impl RoutingState {
     /// Takes a load report that came with the end of a try.
-    pub fn take_report(
+    pub fn record_load_report(
         &mut self,
         service: &ids::EntryName,
         route: &ids::EntryName,
@@ -115,7 +115,7 @@
         now: hazeltiller_units::time::MonotonicTime,
     ) {
         if let Some(view) = self.views.get_mut(target) {
-            view.take_report(route, load, now);
+            view.record_load_report(route, load, now);
             self.typical.note(service, view.others_per_slot());
         }
     }
@@ -147,10 +147,11 @@
 /// The target that a call is offered to next, if there is one that was not tried.
 pub fn choose(
     state: &mut reducer::EngineState,
-    request: &ChoiceRequest,
+    request: &SelectionRequest,
 ) -> Option<TargetCandidate> {
     table::refresh(state);
-    let compares_all = state.settings.tunables.routing.compared > 2 && !request.prefers_away;
+    let compares_all =
+        state.settings.tunables.routing.compared > 2 && !request.prefers_other_centres;
     let choice = if compares_all {
         expected::choose(state, request)
     } else {
@@ -164,18 +165,18 @@
     let is_rolling = request.cohort != cohort::CallCohort::Any;
     let version = target.version.clone().filter(|_| is_rolling);
     Some(TargetCandidate {
-        trial: version.map(|version| (version, target.cohort)),
+        rollout_cohort: version.map(|version| (version, target.cohort)),
         target: target.target.clone(),
         instance: target.instance.clone(),
         address: target.address,
         patience: choice.patience,
-        shortest_run: choice.shortest_run,
+        shortest_run_time: choice.shortest_run_time,
     })
 }
 
 /// The nearest healthy target that has a free slot by what is known, or failing that the one with
 /// the least pressure of the distances that were looked at.
-fn choose_healthy(state: &mut reducer::EngineState, request: &ChoiceRequest) -> Option<usize> {
+fn choose_healthy(state: &mut reducer::EngineState, request: &SelectionRequest) -> Option<usize> {
     let spill_pressure =
         state.settings.tunables.routing.spill_pressure_percent as f64 / settings::PERCENT;
     let ejected = health::ejected_targets(state, request.service, request.spill);
@@ -204,7 +205,7 @@
 
 /// Last resort: a target that is ejected or whose node does not answer may still run; not one whose node
 /// could not be connected to just now, for which the call would only wait.
-fn choose_any(state: &mut reducer::EngineState, request: &ChoiceRequest) -> Option<usize> {
+fn choose_any(state: &mut reducer::EngineState, request: &SelectionRequest) -> Option<usize> {
     for distance in distances(request) {
         let views = &state.routing.views;
         let weighed = weigh(state, request, |_, target| {
@@ -217,11 +218,11 @@
     None
 }
 
-fn distances(request: &ChoiceRequest) -> Vec<table::TargetDistance> {
+fn distances(request: &SelectionRequest) -> Vec<table::TargetDistance> {
     let mut distances = table::TargetDistance::ALL.to_vec();
     if !request.spill {
         distances.truncate(1);
-    } else if request.prefers_away {
+    } else if request.prefers_other_centres {
         distances.rotate_left(1);
     }
     distances
@@ -229,7 +230,7 @@
 
 fn weigh(
     state: &reducer::EngineState,
-    request: &ChoiceRequest,
+    request: &SelectionRequest,
     is_eligible: impl Fn(usize, &table::ReadyTarget) -> bool,
 ) -> Vec<WeighedTarget> {
     let slow_start = state
--- a/crates/engine/src/routing/expected.rs
+++ b/crates/engine/src/routing/expected.rs
@@ -10,7 +10,7 @@
 
 use rand::seq::IndexedRandom;
 
-use super::{ChoiceRequest, TargetChoice, table};
+use super::{SelectionRequest, TargetChoice, table};
 use crate::{admission, health, reducer, settings};
 
 /// Time of a run in seconds where none of the targets compared has shown one yet.
@@ -34,7 +34,7 @@
 /// Chooses among targets that are healthy and reachable.
 pub(super) fn choose(
     state: &mut reducer::EngineState,
-    request: &ChoiceRequest,
+    request: &SelectionRequest,
 ) -> Option<TargetChoice> {
     let compared = state.settings.tunables.routing.compared as usize;
     let ejected = health::ejected_targets(state, request.service, request.spill);
@@ -43,7 +43,7 @@
     let targets = state.routing.table.of_service(request.service);
     let is_eligible = |(place, target): &(usize, &table::ReadyTarget)| {
         target.is_reachable
-            && (request.spill || target.distance == table::TargetDistance::SameCentre)
+            && (request.spill || target.distance == table::TargetDistance::SameDataCentre)
             && !ejected.contains(place)
             && request.cohort.admits(target.cohort)
             && !request.tried.contains(&target.target)
@@ -52,7 +52,7 @@
     let eligible = targets.iter().enumerate().filter(is_eligible);
     let (near, far): (Vec<usize>, Vec<usize>) = eligible
         .map(|(place, _)| place)
-        .partition(|place| targets[*place].distance == table::TargetDistance::SameCentre);
+        .partition(|place| targets[*place].distance == table::TargetDistance::SameDataCentre);
     let mut places = draw(state, request, &near, compared.div_ceil(2));
     places.extend(draw(state, request, &far, compared / 2));
     let own = own_place(state, request).filter(|place| near.contains(place));
@@ -62,7 +62,7 @@
     expected.sort_by(|one, other| one.total_s.total_cmp(&other.total_s));
     let best = expected.first()?;
     let runs = expected.iter().filter_map(|target| target.run_s);
-    let shortest_run = runs.min_by(f64::total_cmp).map(Duration::from_secs_f64);
+    let shortest_run_time = runs.min_by(f64::total_cmp).map(Duration::from_secs_f64);
     let patience = expected.get(1).map(|next| {
         let better_until = best.wait_s + next.total_s - best.total_s;
         Duration::from_secs_f64(better_until.max(0.0) + offer_s)
@@ -70,12 +70,12 @@
     Some(TargetChoice {
         place: best.place,
         patience,
-        shortest_run,
+        shortest_run_time,
     })
 }
 
 /// The place of this node's own target.
-fn own_place(state: &reducer::EngineState, request: &ChoiceRequest) -> Option<usize> {
+fn own_place(state: &reducer::EngineState, request: &SelectionRequest) -> Option<usize> {
     let own = &state.settings.identity.instance;
     let targets = state.routing.table.of_service(request.service);
     targets.iter().position(|target| target.instance == *own)
@@ -85,7 +85,7 @@
 /// by how fast it is.
 fn draw(
     state: &mut reducer::EngineState,
-    request: &ChoiceRequest,
+    request: &SelectionRequest,
     places: &[usize],
     amount: usize,
 ) -> Vec<usize> {
@@ -107,7 +107,7 @@
 /// Measured time of a run of the call's route at a target by what was last heard of it.
 fn run_time(
     state: &reducer::EngineState,
-    request: &ChoiceRequest,
+    request: &SelectionRequest,
     target: &table::ReadyTarget,
 ) -> Option<f64> {
     let half_life = settings::millis(state.settings.tunables.routing.load_half_life_ms);
@@ -116,7 +116,7 @@
 }
 
 /// Mean time of a run of those places that have shown one.
-fn typical_run(state: &reducer::EngineState, request: &ChoiceRequest, places: &[usize]) -> f64 {
+fn typical_run(state: &reducer::EngineState, request: &SelectionRequest, places: &[usize]) -> f64 {
     let targets = state.routing.table.of_service(request.service);
     let known = places.iter().map(|place| &targets[*place]);
     let known: Vec<f64> = known
@@ -131,7 +131,7 @@
 
 fn weigh(
     state: &reducer::EngineState,
-    request: &ChoiceRequest,
+    request: &SelectionRequest,
     places: &[usize],
 ) -> Vec<ExpectedTarget> {
     let half_life = settings::millis(state.settings.tunables.routing.load_half_life_ms);
@@ -160,7 +160,7 @@
         let wait_s = (pressure - slots).max(0.0) * held / slots.max(1.0);
         let distance_s = match target.distance {
             _ if is_own => 0.0,
-            table::TargetDistance::SameCentre => offer_s,
+            table::TargetDistance::SameDataCentre => offer_s,
             table::TargetDistance::SameRegion => offer_s + far_s + far_share * run,
             table::TargetDistance::Remote => offer_s + REMOTE_S,
         };
--- a/crates/engine/src/routing/index.rs
+++ b/crates/engine/src/routing/index.rs
@@ -85,7 +85,7 @@
     }
 
     /// Rank of the class that is served last of those with a route to a service.
-    pub fn last_rank(&self, service: &ids::EntryName) -> Option<u32> {
+    pub fn max_rank(&self, service: &ids::EntryName) -> Option<u32> {
         self.last_ranks.get(service).copied()
     }
 
--- a/crates/engine/src/routing/offer.rs
+++ b/crates/engine/src/routing/offer.rs
@@ -28,7 +28,7 @@
 
 impl OfferCost {
     /// Takes the time that an offer took which was given back at once.
-    pub fn note(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64().min(LARGEST_S);
         self.0 += SMOOTHING * (took - self.0);
     }
--- a/crates/engine/src/routing/size.rs
+++ b/crates/engine/src/routing/size.rs
@@ -19,7 +19,7 @@
 
 impl RouteSizes {
     /// Takes the bytes of the bodies of one call.
-    pub fn note(&mut self, route: &ids::EntryName, bytes: u64) {
+    pub fn record(&mut self, route: &ids::EntryName, bytes: u64) {
         let bytes = bytes as f64;
         match self.0.get_mut(route) {
             Some(mean) => *mean += SMOOTHING * (bytes - *mean),
--- a/crates/engine/src/routing/table.rs
+++ b/crates/engine/src/routing/table.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TargetDistance {
     /// In the same data centre.
-    SameCentre,
+    SameDataCentre,
     /// In another data centre of the same region.
     SameRegion,
     /// In another region.
@@ -21,11 +21,11 @@
 
 impl TargetDistance {
     /// Every distance, nearest first.
-    pub const ALL: [Self; 3] = [Self::SameCentre, Self::SameRegion, Self::Remote];
+    pub const ALL: [Self; 3] = [Self::SameDataCentre, Self::SameRegion, Self::Remote];
 
     fn between(own: &wire::PeerIdentity, other: &wire::PeerIdentity) -> Self {
         if own.data_centre == other.data_centre {
-            Self::SameCentre
+            Self::SameDataCentre
         } else if own.region == other.region {
             Self::SameRegion
         } else {
@@ -50,7 +50,7 @@
     /// Requests that it runs at once, by its announcement and its service's limit.
     pub slots: u32,
     /// Its life under its name.
-    pub life: ids::IncarnationNumber,
+    pub incarnation: ids::IncarnationNumber,
     /// Version of its software, where it tells.
     pub version: Option<ids::SoftwareVersion>,
     /// Its part in a roll-out of its service.
@@ -69,7 +69,7 @@
 
 impl TargetTable {
     /// Largest share of a service's calls that the trial of its new version can carry.
-    pub fn trial_share(&self, service: &ids::EntryName) -> f64 {
+    pub fn max_trial_share(&self, service: &ids::EntryName) -> f64 {
         self.trial_shares.get(service).copied().unwrap_or(0.0)
     }
 
@@ -109,9 +109,9 @@
     let trial_shares = assign_cohorts(state, &mut by_service);
     for target in by_service.values().flatten() {
         let view = state.routing.views.entry(target.target.clone());
-        let first = || routing::TargetView::first_seen(state.now, is_first, target.life);
+        let first = || routing::TargetView::first_seen(state.now, is_first, target.incarnation);
         view.or_insert_with(first)
-            .begin_life(target.life, state.now);
+            .begin_life(target.incarnation, state.now);
     }
     // A target that was away and is ready again starts slowly again.
     let known: indexmap::IndexSet<&ids::TargetName> = by_service
@@ -146,7 +146,7 @@
                 is_reachable: member.identity.instance == own.instance
                     || state.membership.is_reachable(&member.identity.instance),
                 slots,
-                life: record.incarnation,
+                incarnation: record.incarnation,
                 version: record.version.clone(),
                 cohort: cohort::TargetCohort::Present,
             };
--- a/crates/engine/src/routing/view.rs
+++ b/crates/engine/src/routing/view.rs
@@ -75,7 +75,7 @@
     }
 
     /// Takes a report that came with an answer, while the answered call is still counted.
-    pub fn take_report(
+    pub fn record_load_report(
         &mut self,
         route: &ids::EntryName,
         load: wire::LoadReport,
--- a/crates/engine/tests/expected.rs
+++ b/crates/engine/tests/expected.rs
@@ -62,7 +62,7 @@
         let now = self.node.now;
         let [service, route] = ["registru", "any"].map(|name| name.parse().expect("it is a name"));
         let routing = &mut self.node.state.routing;
-        routing.take_report(&service, &route, &name, load, now);
+        routing.record_load_report(&service, &route, &name, load, now);
     }
 
     fn arrive(&mut self) -> calls::AttemptPlan {
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -43,10 +43,10 @@
             target: name.parse().expect("it is a name"),
             instance: name.parse().expect("it is a name"),
             address: ([10, 0, 0, 1], 7660).into(),
-            distance: table::TargetDistance::SameCentre,
+            distance: table::TargetDistance::SameDataCentre,
             is_reachable: true,
             slots: 6,
-            life: ids::IncarnationNumber(1),
+            incarnation: ids::IncarnationNumber(1),
             version: version.parse().ok(),
             cohort: cohort::TargetCohort::Present,
         }
