--- a/crates/engine/src/health/ejection.rs
+++ b/crates/engine/src/health/ejection.rs
@@ -24,7 +24,7 @@
 pub struct EjectionState {
     until: Option<time::MonotonicTime>,
     /// Whether that is because its node could not be connected to.
-    is_unreached: bool,
+    is_connect_failing: bool,
     in_row: u32,
     failed_in_row: u32,
 }
@@ -36,13 +36,13 @@
     }
 
     /// Whether it is back from an ejection and has not answered yet.
-    pub fn is_on_trial(&self, now: time::MonotonicTime) -> bool {
+    pub fn is_on_probation(&self, now: time::MonotonicTime) -> bool {
         self.until.is_some_and(|until| now >= until)
     }
 
     /// Whether calls are kept away because its node could not be connected to.
-    pub fn is_unreached(&self, now: time::MonotonicTime) -> bool {
-        self.is_unreached && self.is_ejected(now)
+    pub fn is_connect_failing(&self, now: time::MonotonicTime) -> bool {
+        self.is_connect_failing && self.is_ejected(now)
     }
 
     /// Time for which calls are still kept away.
@@ -54,7 +54,7 @@
     pub fn note_unreached(&mut self, now: time::MonotonicTime, first: Duration) {
         if !self.is_ejected(now) {
             self.until = Some(now + first / 2);
-            self.is_unreached = true;
+            self.is_connect_failing = true;
         }
     }
 
@@ -70,7 +70,7 @@
         }
         let doublings = self.in_row.min(MOST_DOUBLINGS);
         self.until = Some(now + first * (1 << doublings));
-        self.is_unreached = false;
+        self.is_connect_failing = false;
         self.in_row += 1;
     }
 
@@ -82,7 +82,7 @@
         tunables: &settings::HealthTunables,
     ) {
         self.failed_in_row += 1;
-        let is_trial = self.is_on_trial(now);
+        let is_trial = self.is_on_probation(now);
         if is_trial || u64::from(self.failed_in_row) >= tunables.failed_in_row {
             self.eject(now, first);
         }
@@ -105,7 +105,7 @@
     let targets = state.routing.table.of_service(service).iter().enumerate();
     let permitted = targets.filter(|(_, target)| is_permitted(target));
     let (unreached, reached): (Vec<_>, Vec<_>) =
-        permitted.partition(|(_, target)| health(target).is_unreached(state.now));
+        permitted.partition(|(_, target)| health(target).is_connect_failing(state.now));
     let place = |(place, _): &(usize, &table::ReadyTarget)| *place;
     let ejected = reached
         .iter()
@@ -122,6 +122,6 @@
 pub fn unreached_for(state: &reducer::EngineState, service: &ids::EntryName) -> Option<Duration> {
     let targets = state.routing.table.of_service(service).iter();
     let views = targets.filter_map(|target| state.routing.views.get(&target.target));
-    let unreached = views.filter(|view| view.health.is_unreached(state.now));
+    let unreached = views.filter(|view| view.health.is_connect_failing(state.now));
     unreached.map(|view| view.health.remaining(state.now)).min()
 }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -1,9 +1,10 @@
-//! Which route a request takes and which target it is offered to.
+//! Selects the route of a request and the target that the request is offered to.
 //!
-//! Of two random targets the one with less in use per slot is chosen. What is in use comes from
-//! the owner nodes, with every answer: targets' own load pages are not asked, for they lag. Near
-//! targets go first; calls go further when the near ones have no free slot by that measure, or
-//! when none of them is left.
+//! Selection uses the power of two choices: of two random targets, the one with fewer requests per
+//! slot is chosen. Load is reported by the owner nodes with every answer; the load pages of the
+//! targets are not polled, because they lag behind. Targets in the same data centre are preferred.
+//! A call goes to another data centre when no near target has a free slot according to its last
+//! report, or when no near target is left.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,98 +15,101 @@
 
 use crate::{health, reducer, rollout::cohort, settings};
 
-mod expected;
+mod expected_latency;
 pub mod index;
+pub mod mean_load;
 pub mod offer;
 pub mod size;
 pub mod split;
 pub mod table;
-pub mod typical;
 mod view;
 
 pub use view::TargetView;
 
-/// Most that a slower target's pressure is multiplied by: a full fast one still loses to it.
-const MOST_SLOWNESS: f64 = 2.0;
-/// Times of runs that differ by less than this are taken for equal: they are measured on few runs.
-const LEAST_SLOWNESS: f64 = 1.5;
+/// Upper bound of the factor that a slower target's score is multiplied by, so that a full fast
+/// target still scores worse than a slow idle one.
+const MAX_SLOWNESS_FACTOR: f64 = 2.0;
+/// Run times that differ by less than this factor count as equal, since they are measured on few
+/// runs.
+const MIN_SLOWNESS_FACTOR: f64 = 1.5;
 
 /// A target that a call can be offered to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetCandidate {
-    /// Its name.
+    /// Name of the target.
     pub target: ids::TargetName,
-    /// The node that owns it.
+    /// Node that owns the target.
     pub instance: ids::InstanceName,
-    /// Peers address of that node.
+    /// Peer address of the owner node.
     pub address: SocketAddr,
-    /// Longest wait for which no other target is better; absent: any.
+    /// Longest queueing time at the target for which no other compared target is better; `None` if
+    /// there is no alternative.
     pub patience: Option<Duration>,
-    /// Shortest time of a run among the targets that it was compared with, where one is known.
+    /// Shortest known run time among the compared targets.
     pub shortest_run_time: Option<Duration>,
-    /// Its version and its part in the service's roll-out, where one is under way.
+    /// Software version and cohort of the target while its service has a rollout in progress.
     pub rollout_cohort: Option<(ids::SoftwareVersion, cohort::TargetCohort)>,
 }
 
-/// A choice among a service's targets.
+/// The result of selecting among the targets of a service.
 #[derive(Debug, Clone, Copy)]
-struct TargetChoice {
-    /// Place in the service's list.
-    place: usize,
+struct TargetSelection {
+    /// Index into the target list of the service.
+    index: usize,
     patience: Option<Duration>,
-    /// Shortest time of a run among those compared.
+    /// Shortest known run time among the compared targets.
     shortest_run_time: Option<Duration>,
 }
 
-impl TargetChoice {
-    /// A choice beside which there is nothing better.
-    fn alone(place: usize) -> Self {
+impl TargetSelection {
+    /// Returns a selection that was compared with no alternative.
+    fn without_alternative(index: usize) -> Self {
         Self {
-            place,
+            index,
             patience: None,
             shortest_run_time: None,
         }
     }
 }
 
-/// What a target is chosen for.
+/// The constraints under which a target is selected.
 #[derive(Debug, Clone)]
 pub struct SelectionRequest<'a> {
     /// Service that the call goes to.
     pub service: &'a ids::EntryName,
-    /// Whether targets of other data centres may take it.
+    /// Whether targets of other data centres may take the call.
     pub spill: bool,
-    /// Targets that were tried.
+    /// Targets that have already been tried for this call.
     pub tried: &'a [ids::TargetName],
-    /// Route that it takes.
+    /// Route that the call matched.
     pub route: &'a ids::EntryName,
-    /// Whether to look outside the own data centre first, since the own one is over a limit.
+    /// Whether to prefer other data centres, because the own one is over a limit.
     pub prefers_other_centres: bool,
-    /// Which part of the service's targets may take it while a roll-out goes on.
+    /// Cohorts of the service's targets that may take the call while a rollout is in progress.
     pub cohort: cohort::CallCohort,
 }
 
-/// State of routing.
+/// Routing state of the ingress side.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingState {
-    /// Routes of the version in force.
+    /// Route index of the catalogue version in force.
     pub routes: index::RouteIndex,
-    /// Whose turn it is where a route is split.
-    pub splits: split::SplitTurns,
-    /// Ready targets.
+    /// Weighted round-robin state of the split routes.
+    pub splits: split::SplitRotations,
+    /// Ready targets by service.
     pub table: table::TargetTable,
-    /// Bytes of the calls of each route.
+    /// Mean body size of the calls by route.
     pub sizes: size::RouteSizes,
-    /// What an offer to another node costs.
+    /// Cost of an offer that another node declines.
     pub offer_cost: offer::OfferCost,
-    /// What other nodes send to a slot of each service.
-    pub typical: typical::TypicalUses,
-    /// What is known of each ready target.
+    /// Mean load from other nodes per slot, by service.
+    pub service_loads: mean_load::ServiceLoads,
+    /// Load and health of each ready target.
     pub views: IndexMap<ids::TargetName, TargetView>,
 }
 
 impl RoutingState {
-    /// Takes a load report that came with the end of a try.
+    /// Records the load report that came with the end of an attempt.
     pub fn record_load_report(
         &mut self,
         service: &ids::EntryName,
@@ -116,27 +120,28 @@
     ) {
         if let Some(view) = self.views.get_mut(target) {
             view.record_load_report(route, load, now);
-            self.typical.note(service, view.others_per_slot());
+            self.service_loads.record(service, view.others_per_slot());
         }
     }
 }
 
-/// A candidate with what it is weighed by.
+/// A candidate target with the values that its score is computed from.
 #[derive(Debug, Clone, Copy)]
-struct WeighedTarget {
-    place: usize,
-    warmth: f64,
+struct ScoredTarget {
+    index: usize,
+    slow_start_share: f64,
     pressure: f64,
-    /// Measured time of a run in seconds, where that is known and fresh.
-    service_s: Option<f64>,
+    /// Measured run time in seconds, if there is a recent one.
+    run_time_s: Option<f64>,
 }
 
-impl WeighedTarget {
-    /// What counts against it beside the other of a pair: its pressure, more where it is slower.
-    fn score(&self, other: &Self) -> f64 {
-        let slowness = match (self.service_s, other.service_s) {
-            (Some(own), Some(other)) if own > other * LEAST_SLOWNESS => {
-                (own / other).min(MOST_SLOWNESS)
+impl ScoredTarget {
+    /// Returns the score against the other target of a pair; lower is better. The score grows with
+    /// pressure, and with run time if this target is clearly slower.
+    fn score(&self, alternative: &Self) -> f64 {
+        let slowness = match (self.run_time_s, alternative.run_time_s) {
+            (Some(own_s), Some(other_s)) if own_s > other_s * MIN_SLOWNESS_FACTOR => {
+                (own_s / other_s).min(MAX_SLOWNESS_FACTOR)
             }
             _ => 1.0,
         };
@@ -144,52 +149,52 @@
     }
 }
 
-/// The target that a call is offered to next, if there is one that was not tried.
+/// Selects the target for the next attempt of a call; `None` if no untried target is left.
 pub fn choose(
     state: &mut reducer::EngineState,
     request: &SelectionRequest,
 ) -> Option<TargetCandidate> {
     table::refresh(state);
-    let compares_all =
+    let uses_expected_latency =
         state.settings.tunables.routing.compared > 2 && !request.prefers_other_centres;
-    let choice = if compares_all {
-        expected::choose(state, request)
+    let selection = if uses_expected_latency {
+        expected_latency::choose(state, request)
     } else {
-        choose_healthy(state, request).map(TargetChoice::alone)
+        choose_healthy(state, request).map(TargetSelection::without_alternative)
     };
-    let choice = match choice {
-        Some(choice) => choice,
-        None => choose_any(state, request).map(TargetChoice::alone)?,
+    let selection = match selection {
+        Some(selection) => selection,
+        None => choose_any(state, request).map(TargetSelection::without_alternative)?,
     };
-    let target = &state.routing.table.of_service(request.service)[choice.place];
-    let is_rolling = request.cohort != cohort::CallCohort::Any;
-    let version = target.version.clone().filter(|_| is_rolling);
+    let target = &state.routing.table.of_service(request.service)[selection.index];
+    let has_rollout = request.cohort != cohort::CallCohort::Any;
+    let version = target.version.clone().filter(|_| has_rollout);
     Some(TargetCandidate {
         rollout_cohort: version.map(|version| (version, target.cohort)),
         target: target.target.clone(),
         instance: target.instance.clone(),
         address: target.address,
-        patience: choice.patience,
-        shortest_run_time: choice.shortest_run_time,
+        patience: selection.patience,
+        shortest_run_time: selection.shortest_run_time,
     })
 }
 
-/// The nearest healthy target that has a free slot by what is known, or failing that the one with
-/// the least pressure of the distances that were looked at.
+/// Returns the nearest healthy target whose pressure is within the spill limit, or else the one
+/// with the least pressure among all distances that the request allows.
 fn choose_healthy(state: &mut reducer::EngineState, request: &SelectionRequest) -> Option<usize> {
     let spill_pressure =
         state.settings.tunables.routing.spill_pressure_percent as f64 / settings::PERCENT;
     let ejected = health::ejected_targets(state, request.service, request.spill);
-    let mut best: Option<WeighedTarget> = None;
+    let mut best: Option<ScoredTarget> = None;
     for distance in distances(request) {
         let views = &state.routing.views;
-        let weighed = weigh(state, request, |place, target| {
+        let candidates = score_targets(state, request, |index, target| {
             target.distance == distance
                 && target.is_reachable
-                && !ejected.contains(&place)
-                && views[&target.target].has_room(state.now)
+                && !ejected.contains(&index)
+                && views[&target.target].admits_call(state.now)
         });
-        let Some(chosen) = choose_pair(state, &weighed) else {
+        let Some(chosen) = choose_of_two(state, &candidates) else {
             continue;
         };
         let is_better = best.is_none_or(|best| chosen.pressure < best.pressure);
@@ -200,19 +205,21 @@
             break;
         }
     }
-    best.map(|target| target.place)
+    best.map(|target| target.index)
 }
 
-/// Last resort: a target that is ejected or whose node does not answer may still run; not one whose node
-/// could not be connected to just now, for which the call would only wait.
+/// Selects among all targets as the last resort. A target that is ejected or whose node is
+/// unreachable may still run the call. Targets whose node has just refused a connection are left
+/// out, because the call would only wait there.
 fn choose_any(state: &mut reducer::EngineState, request: &SelectionRequest) -> Option<usize> {
     for distance in distances(request) {
         let views = &state.routing.views;
-        let weighed = weigh(state, request, |_, target| {
-            target.distance == distance && !views[&target.target].health.is_unreached(state.now)
+        let candidates = score_targets(state, request, |_, target| {
+            target.distance == distance
+                && !views[&target.target].health.is_connect_failing(state.now)
         });
-        if let Some(chosen) = choose_pair(state, &weighed) {
-            return Some(chosen.place);
+        if let Some(chosen) = choose_of_two(state, &candidates) {
+            return Some(chosen.index);
         }
     }
     None
@@ -228,11 +235,11 @@
     distances
 }
 
-fn weigh(
+fn score_targets(
     state: &reducer::EngineState,
     request: &SelectionRequest,
     is_eligible: impl Fn(usize, &table::ReadyTarget) -> bool,
-) -> Vec<WeighedTarget> {
+) -> Vec<ScoredTarget> {
     let slow_start = state
         .dissemination
         .in_force
@@ -240,44 +247,44 @@
         .map_or(0, |service| service.slow_start_ms);
     let slow_start = Duration::from_millis(u64::from(slow_start));
     let half_life = settings::millis(state.settings.tunables.routing.load_half_life_ms);
-    let typical = state.routing.typical.of_service(request.service);
+    let service_load = state.routing.service_loads.of_service(request.service);
     let targets = state.routing.table.of_service(request.service).iter();
     targets
         .enumerate()
-        .filter(|(place, target)| {
-            is_eligible(*place, target)
+        .filter(|(index, target)| {
+            is_eligible(*index, target)
                 && request.cohort.admits(target.cohort)
                 && !request.tried.contains(&target.target)
         })
-        .map(|(place, target)| {
+        .map(|(index, target)| {
             let view = &state.routing.views[&target.target];
-            WeighedTarget {
-                place,
-                warmth: view.warmth(state.now, slow_start),
-                pressure: view.pressure(target.slots, typical, state.now, half_life),
-                service_s: view.fresh_run_s(request.route, state.now, half_life),
+            ScoredTarget {
+                index,
+                slow_start_share: view.slow_start_share(state.now, slow_start),
+                pressure: view.pressure(target.slots, service_load, state.now, half_life),
+                run_time_s: view.recent_run_time_s(request.route, state.now, half_life),
             }
         })
         .collect()
 }
 
-/// Of two random targets, the one with less pressure; one that is not warm yet takes only its
-/// share of the calls that it would get.
-fn choose_pair(
+/// Returns the target with the better score of two random ones. During its slow start a target
+/// takes only its slow-start share of the calls that it would otherwise get.
+fn choose_of_two(
     state: &mut reducer::EngineState,
-    weighed: &[WeighedTarget],
-) -> Option<WeighedTarget> {
-    let pair: Vec<WeighedTarget> = weighed.sample(&mut state.random, 2).copied().collect();
-    let (one, other) = match pair.as_slice() {
-        [one, other] => (*one, *other),
+    candidates: &[ScoredTarget],
+) -> Option<ScoredTarget> {
+    let pair: Vec<ScoredTarget> = candidates.sample(&mut state.random, 2).copied().collect();
+    let (left, right) = match pair.as_slice() {
+        [left, right] => (*left, *right),
         _ => return pair.first().copied(),
     };
-    let (better, worse) = if other.score(&one) < one.score(&other) {
-        (other, one)
+    let (better, worse) = if right.score(&left) < left.score(&right) {
+        (right, left)
     } else {
-        (one, other)
+        (left, right)
     };
-    let share = better.warmth / better.warmth.max(worse.warmth);
-    let is_taken = share >= 1.0 || state.random.random_bool(share);
-    Some(if is_taken { better } else { worse })
+    let share = better.slow_start_share / better.slow_start_share.max(worse.slow_start_share);
+    let takes_call = share >= 1.0 || state.random.random_bool(share);
+    Some(if takes_call { better } else { worse })
 }
--- /dev/null
+++ b/crates/engine/src/routing/expected_latency.rs
@@ -0,0 +1,196 @@
+//! Selects the target that is expected to answer first.
+//!
+//! Targets of one service can differ in speed by a factor of several, so request counts do not tell
+//! which one answers first; the time until a slot is free and the run time do. The load that other
+//! nodes cause is known only as of the last report, so the owner node of the target checks the
+//! selection: the offer carries the longest queueing time that is still better than the second-best
+//! target, and the owner node declines at once if the wait would be longer.
+
+use std::time::Duration;
+
+use rand::seq::IndexedRandom;
+
+use super::{SelectionRequest, TargetSelection, table};
+use crate::{admission, health, reducer, settings};
+
+/// Run time in seconds to assume if none of the compared targets has a measured one.
+const DEFAULT_RUN_TIME_S: f64 = 0.1;
+/// Share of the run time that is added at full utilisation. Of two targets with free slots, the
+/// less utilised one is more likely to still have one when the offer arrives.
+const UTILISATION_PENALTY_SHARE: f64 = 0.3;
+/// Penalty in seconds for a target in another region: one round trip between regions.
+const REMOTE_REGION_PENALTY_S: f64 = 0.04;
+
+const BYTES_PER_KILOBYTE: f64 = 1e3;
+
+struct ExpectedTarget {
+    index: usize,
+    queueing_s: f64,
+    latency_s: f64,
+    /// Measured run time in seconds, if there is a recent one.
+    run_time_s: Option<f64>,
+}
+
+/// Selects among the healthy and reachable targets.
+pub(super) fn choose(
+    state: &mut reducer::EngineState,
+    request: &SelectionRequest,
+) -> Option<TargetSelection> {
+    let compared = state.settings.tunables.routing.compared as usize;
+    let ejected = health::ejected_targets(state, request.service, request.spill);
+    let now = state.now;
+    let views = &state.routing.views;
+    let targets = state.routing.table.of_service(request.service);
+    let is_eligible = |(index, target): &(usize, &table::ReadyTarget)| {
+        target.is_reachable
+            && (request.spill || target.distance == table::TargetDistance::SameDataCentre)
+            && !ejected.contains(index)
+            && request.cohort.admits(target.cohort)
+            && !request.tried.contains(&target.target)
+            && views[&target.target].admits_call(now)
+    };
+    let eligible = targets.iter().enumerate().filter(is_eligible);
+    let (near, far): (Vec<usize>, Vec<usize>) = eligible
+        .map(|(index, _)| index)
+        .partition(|index| targets[*index].distance == table::TargetDistance::SameDataCentre);
+    let mut indexes = sample_by_capacity(state, request, &near, compared.div_ceil(2));
+    indexes.extend(sample_by_capacity(state, request, &far, compared / 2));
+    let own_index = own_target_index(state, request).filter(|index| near.contains(index));
+    indexes.extend(own_index.filter(|index| !indexes.contains(index)));
+    let offer_cost_s = state.routing.offer_cost.seconds();
+    let mut expected = estimate(state, request, &indexes);
+    expected.sort_by(|left, right| left.latency_s.total_cmp(&right.latency_s));
+    let best = expected.first()?;
+    let run_times = expected.iter().filter_map(|target| target.run_time_s);
+    let shortest_run_time = run_times
+        .min_by(f64::total_cmp)
+        .map(Duration::from_secs_f64);
+    let patience = expected.get(1).map(|next| {
+        let max_queueing_s = best.queueing_s + next.latency_s - best.latency_s;
+        Duration::from_secs_f64(max_queueing_s.max(0.0) + offer_cost_s)
+    });
+    Some(TargetSelection {
+        index: best.index,
+        patience,
+        shortest_run_time,
+    })
+}
+
+/// Returns the index of the target that this node owns.
+fn own_target_index(state: &reducer::EngineState, request: &SelectionRequest) -> Option<usize> {
+    let instance = &state.settings.identity.instance;
+    let targets = state.routing.table.of_service(request.service);
+    targets
+        .iter()
+        .position(|target| target.instance == *instance)
+}
+
+/// Samples `count` of these targets without replacement, weighted by capacity: slots divided by
+/// run time.
+fn sample_by_capacity(
+    state: &mut reducer::EngineState,
+    request: &SelectionRequest,
+    indexes: &[usize],
+    count: usize,
+) -> Vec<usize> {
+    let mean_run_time_s = mean_run_time(state, request, indexes);
+    let targets = state.routing.table.of_service(request.service);
+    let weight = |index: &usize| {
+        let target = &targets[*index];
+        f64::from(target.slots.max(1))
+            / measured_run_time_s(state, request, target).unwrap_or(mean_run_time_s)
+    };
+    let weights: Vec<(usize, f64)> = indexes
+        .iter()
+        .map(|index| (*index, weight(index)))
+        .collect();
+    // Sampling fails only on weights that are not positive and finite, which these are; if it does
+    // fail, no target is sampled and the caller falls back to any target.
+    let sampled = weights.sample_weighted(&mut state.random, count, |(_, weight)| *weight);
+    sampled.map_or_else(
+        |_no_weight| Vec::new(),
+        |sampled| sampled.map(|(index, _)| *index).collect(),
+    )
+}
+
+/// Returns the last reported run time of the call's route at a target in seconds, if it is recent.
+fn measured_run_time_s(
+    state: &reducer::EngineState,
+    request: &SelectionRequest,
+    target: &table::ReadyTarget,
+) -> Option<f64> {
+    let half_life = settings::millis(state.settings.tunables.routing.load_half_life_ms);
+    let view = &state.routing.views[&target.target];
+    view.recent_run_time_s(request.route, state.now, half_life)
+}
+
+/// Returns the mean run time in seconds of those targets that have a measured one.
+fn mean_run_time(
+    state: &reducer::EngineState,
+    request: &SelectionRequest,
+    indexes: &[usize],
+) -> f64 {
+    let targets = state.routing.table.of_service(request.service);
+    let known = indexes.iter().map(|index| &targets[*index]);
+    let known: Vec<f64> = known
+        .filter_map(|target| measured_run_time_s(state, request, target))
+        .collect();
+    if known.is_empty() {
+        DEFAULT_RUN_TIME_S
+    } else {
+        known.iter().sum::<f64>() / known.len() as f64
+    }
+}
+
+fn estimate(
+    state: &reducer::EngineState,
+    request: &SelectionRequest,
+    indexes: &[usize],
+) -> Vec<ExpectedTarget> {
+    let half_life = settings::millis(state.settings.tunables.routing.load_half_life_ms);
+    let targets = state.routing.table.of_service(request.service);
+    let service_load = state.routing.service_loads.of_service(request.service);
+    let tunables = &state.settings.tunables.routing;
+    let far_run_share = tunables.far_run_percent as f64 / settings::PERCENT;
+    let kilobytes = state.routing.sizes.of_route(request.route) / BYTES_PER_KILOBYTE;
+    let transfer_s = settings::millis(tunables.far_kilobyte_ms).as_secs_f64() * kilobytes;
+    let mean_run_time_s = mean_run_time(state, request, indexes);
+    let offer_cost_s = state.routing.offer_cost.seconds();
+    let estimate_one = |index: &usize| {
+        let target = &targets[*index];
+        let view = &state.routing.views[&target.target];
+        let measured_s = measured_run_time_s(state, request, target);
+        let run_time_s = measured_s.unwrap_or(mean_run_time_s);
+        let slot_hold_s = view
+            .recent_slot_hold_s(state.now, half_life)
+            .unwrap_or(run_time_s);
+        let slots = f64::from(view.usable_slots(target.slots));
+        let is_own = target.instance == state.settings.identity.instance;
+        // The pressure includes the call that is being placed.
+        let in_use = if is_own {
+            1.0 + f64::from(admission::in_use(state, &target.target))
+        } else {
+            f64::from(target.slots)
+                * view.pressure(target.slots, service_load, state.now, half_life)
+        };
+        let queueing_s = (in_use - slots).max(0.0) * slot_hold_s / slots.max(1.0);
+        let distance_s = match target.distance {
+            _ if is_own => 0.0,
+            table::TargetDistance::SameDataCentre => offer_cost_s,
+            table::TargetDistance::SameRegion => {
+                offer_cost_s + transfer_s + far_run_share * run_time_s
+            }
+            table::TargetDistance::Remote => offer_cost_s + REMOTE_REGION_PENALTY_S,
+        };
+        let utilisation = (in_use / slots.max(1.0)).min(1.0);
+        ExpectedTarget {
+            index: *index,
+            queueing_s,
+            run_time_s: measured_s,
+            latency_s: queueing_s
+                + run_time_s * (1.0 + UTILISATION_PENALTY_SHARE * utilisation)
+                + distance_s,
+        }
+    };
+    indexes.iter().map(estimate_one).collect()
+}
--- a/crates/engine/src/routing/index.rs
+++ b/crates/engine/src/routing/index.rs
@@ -1,27 +1,30 @@
-//! Routes arranged for lookup, built once for each version in force.
+//! Route index of one catalogue version, built when the version comes into force.
 //!
-//! A service mesh of 56 services has a few thousand routes. A request is looked up by its host and
-//! by each distinct length of a prefix, longest first, so the time depends on how many lengths
-//! there are and not on how many routes.
+//! A mesh of 56 services has a few thousand routes. A request is looked up by its host and by each
+//! distinct prefix length, longest first, so lookup time depends on the number of lengths and not
+//! on the number of routes.
 
 use hazeltiller_catalogue::{entry, state as catalogue_state};
 use hazeltiller_units::ids;
 use indexmap::IndexMap;
 
-/// Place of a route among the entries of its catalogue.
-type EntryPlace = usize;
+/// Index of a route among the entries of its catalogue.
+type EntryIndex = usize;
 
-/// Routes of one host, or of all requests.
+/// Routes of one host, or of requests to any host.
 #[derive(Debug, Clone, Default)]
 struct HostRoutes {
-    by_prefix: IndexMap<String, Vec<EntryPlace>>,
-    /// Distinct lengths of the prefixes, longest first.
+    by_prefix: IndexMap<String, Vec<EntryIndex>>,
+    /// Distinct prefix lengths, longest first.
     lengths: Vec<usize>,
 }
 
 impl HostRoutes {
-    fn insert(&mut self, prefix: &str, place: EntryPlace) {
-        self.by_prefix.entry(prefix.into()).or_default().push(place);
+    fn insert(&mut self, prefix: &str, position: EntryIndex) {
+        self.by_prefix
+            .entry(prefix.into())
+            .or_default()
+            .push(position);
         if let Err(at) = self
             .lengths
             .binary_search_by(|known| prefix.len().cmp(known))
@@ -43,60 +46,62 @@
             .filter_map(|prefix| self.by_prefix.get(prefix));
         prefixes
             .flatten()
-            .filter_map(|place| route_at(catalogue, *place))
+            .filter_map(|position| route_at(catalogue, *position))
             .find(|route| has_method(route, method))
     }
 }
 
-/// Every route of one version of the catalogue.
+/// Index over every route of one catalogue version.
 #[derive(Debug, Clone, Default)]
 pub struct RouteIndex {
-    /// Digest of the version that it was built for.
+    /// Digest of the catalogue that the index was built from.
     digest: ids::StateDigest,
-    of_hosts: IndexMap<String, HostRoutes>,
-    of_any_host: HostRoutes,
-    /// Largest rank of the classes that have a route to a service.
-    last_ranks: IndexMap<ids::EntryName, u32>,
+    by_host: IndexMap<String, HostRoutes>,
+    any_host: HostRoutes,
+    /// Highest class rank among the routes to each service.
+    max_ranks: IndexMap<ids::EntryName, u32>,
 }
 
 impl RouteIndex {
-    /// The index of a catalogue.
+    /// Builds the index of a catalogue.
     pub fn build(catalogue: &catalogue_state::CatalogueState) -> Self {
         let mut index = Self {
             digest: catalogue.digest,
             ..Self::default()
         };
-        for (place, entry) in catalogue.entries.values().enumerate() {
+        for (position, entry) in catalogue.entries.values().enumerate() {
             let entry::CatalogueEntry::Route(route) = entry else {
                 continue;
             };
             let routes = match &route.matches.host {
-                Some(host) => index.of_hosts.entry(host.clone()).or_default(),
-                None => &mut index.of_any_host,
+                Some(host) => index.by_host.entry(host.clone()).or_default(),
+                None => &mut index.any_host,
             };
-            routes.insert(&route.matches.path_prefix, place);
+            routes.insert(&route.matches.path_prefix, position);
             let rank = catalogue.class(&route.class).map_or(0, |class| class.rank);
             for (service, _weight) in route.parts() {
-                let last = index.last_ranks.entry(service.clone()).or_default();
-                *last = rank.max(*last);
+                let max_rank = index.max_ranks.entry(service.clone()).or_default();
+                *max_rank = rank.max(*max_rank);
             }
         }
         index
     }
 
-    /// Rank of the class that is served last of those with a route to a service.
+    /// Returns the highest rank, which is served last, among the classes that have a route to a
+    /// service.
     pub fn max_rank(&self, service: &ids::EntryName) -> Option<u32> {
-        self.last_ranks.get(service).copied()
+        self.max_ranks.get(service).copied()
     }
 
-    /// Builds the index anew if it is for another catalogue.
+    /// Rebuilds the index if the catalogue has changed.
     pub fn refresh(&mut self, catalogue: &catalogue_state::CatalogueState) {
         if self.digest != catalogue.digest {
             *self = Self::build(catalogue);
         }
     }
 
-    /// The route that a request takes: the longest prefix that fits; a named host goes before none.
+    /// Returns the route that a request matches: the one with the longest matching prefix. At equal
+    /// length, a route for the named host takes precedence over one for any host.
     pub fn find<'a>(
         &self,
         catalogue: &'a catalogue_state::CatalogueState,
@@ -104,24 +109,26 @@
         path: &str,
         method: &str,
     ) -> Option<&'a entry::RouteEntry> {
-        let of_host = host
-            .and_then(|host| self.of_hosts.get(host))
+        let host_route = host
+            .and_then(|host| self.by_host.get(host))
             .and_then(|routes| routes.find(catalogue, path, method));
-        let of_any = self.of_any_host.find(catalogue, path, method);
+        let any_route = self.any_host.find(catalogue, path, method);
         let length = |route: &entry::RouteEntry| route.matches.path_prefix.len();
-        match (of_host, of_any) {
-            (Some(named), Some(any)) if length(any) > length(named) => Some(any),
-            (Some(named), _) => Some(named),
-            (None, any) => any,
+        match (host_route, any_route) {
+            (Some(host_route), Some(any_route)) if length(any_route) > length(host_route) => {
+                Some(any_route)
+            }
+            (Some(host_route), _) => Some(host_route),
+            (None, any_route) => any_route,
         }
     }
 }
 
 fn route_at(
     catalogue: &catalogue_state::CatalogueState,
-    place: EntryPlace,
+    position: EntryIndex,
 ) -> Option<&entry::RouteEntry> {
-    match catalogue.entries.get_index(place)?.1 {
+    match catalogue.entries.get_index(position)?.1 {
         entry::CatalogueEntry::Route(route) => Some(route),
         _ => None,
     }
--- a/crates/engine/src/routing/offer.rs
+++ b/crates/engine/src/routing/offer.rs
@@ -1,39 +1,39 @@
-//! What it costs to ask another node.
+//! Cost of an offer to another node.
 //!
-//! An offer that is given back has taken a round trip and the work of both nodes: some tens of
-//! milliseconds where a node has a narrow link or a tenth of a core. The cost is measured, so that nodes
-//! which are short of either ask fewer others: they leave a call where it waits a little, and prefer
-//! their own target.
+//! An offer that is declined has cost a round trip and work on both nodes: some tens of
+//! milliseconds if a node has a narrow link or a tenth of a core. The cost is measured, so that
+//! nodes which are short of either make fewer offers: they accept a short queueing time instead of
+//! offering the call elsewhere, and prefer their own target.
 
 use std::time::Duration;
 
-/// Cost before the first measurement, in seconds: a round trip between data centres and the work of
-/// two nodes that have little to do.
-const FIRST_S: f64 = 0.01;
-/// Largest time that counts, in seconds: an offer that took longer waited for a slot in vain, which is
-/// no cost of asking.
-const LARGEST_S: f64 = 0.1;
-/// Part of a new measurement in the smoothed cost: about the last twenty offers.
-const SMOOTHING: f64 = 0.05;
+/// Cost in seconds before the first measurement: a round trip between data centres and the work of
+/// two nodes under light load.
+const INITIAL_COST_S: f64 = 0.01;
+/// Upper bound of a sample in seconds. An offer that took longer was queued for a slot in vain,
+/// which is not part of the cost of the offer itself.
+const MAX_SAMPLE_S: f64 = 0.1;
+/// Weight of a new sample in the moving average, which thus spans about the last twenty offers.
+const SMOOTHING_FACTOR: f64 = 0.05;
 
-/// Smoothed time from an offer until it is given back.
+/// Exponential moving average of the time from an offer until it is declined, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OfferCost(f64);
 
 impl Default for OfferCost {
     fn default() -> Self {
-        Self(FIRST_S)
+        Self(INITIAL_COST_S)
     }
 }
 
 impl OfferCost {
-    /// Takes the time that an offer took which was given back at once.
-    pub fn record(&mut self, took: Duration) {
-        let took = took.as_secs_f64().min(LARGEST_S);
-        self.0 += SMOOTHING * (took - self.0);
+    /// Records the duration of an offer that was declined without queueing.
+    pub fn record(&mut self, duration: Duration) {
+        let sample_s = duration.as_secs_f64().min(MAX_SAMPLE_S);
+        self.0 += SMOOTHING_FACTOR * (sample_s - self.0);
     }
 
-    /// The cost in seconds.
+    /// Returns the cost in seconds.
     pub fn seconds(self) -> f64 {
         self.0
     }
--- a/crates/engine/src/routing/split.rs
+++ b/crates/engine/src/routing/split.rs
@@ -1,9 +1,10 @@
-//! Which service takes the next call of a route that is split.
+//! Selects the service for each call of a split route.
 //!
-//! Services take turns by weight: each call adds every part's weight to its credit, and the part
-//! with the most gives up the sum of all. So each part is within one call of its share at any
-//! moment at this node, which drawing at random is not. A part that is short keeps its share: what
-//! it has no room for is refused, not moved to another service.
+//! Services are selected by smooth weighted round robin: each call adds every part's weight to the
+//! part's credit, and the part with the highest credit is selected and pays the sum of the weights.
+//! Each part thus stays within one call of its share at any time on this node, which random
+//! selection does not guarantee. A part without capacity keeps its share: its excess calls are
+//! refused, not moved to another service.
 
 use hazeltiller_catalogue::entry;
 use hazeltiller_units::ids;
@@ -11,35 +12,35 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Credits of one route's parts.
+/// Round-robin state of one split route.
 #[derive(Debug, Clone, Default)]
-struct RouteTurns {
+struct RouteRotation {
     parts: Vec<entry::RoutePart>,
     credits: Vec<i64>,
 }
 
-/// Turns of every split route.
+/// Round-robin state of every split route.
 #[derive(Debug, Clone, Default)]
-pub struct SplitTurns {
-    routes: IndexMap<ids::EntryName, RouteTurns>,
+pub struct SplitRotations {
+    routes: IndexMap<ids::EntryName, RouteRotation>,
 }
 
-impl SplitTurns {
-    /// The service that a route's next call goes to.
+impl SplitRotations {
+    /// Returns the service that the next call of a route goes to.
     pub fn choose(&mut self, route: &entry::RouteEntry, random: &mut ChaCha8Rng) -> ids::EntryName {
         if route.split.is_empty() {
             return route.service.clone();
         }
-        let turns = self.routes.entry(route.name.clone()).or_default();
-        if turns.parts != route.split {
-            *turns = RouteTurns::start(&route.split, random);
+        let rotation = self.routes.entry(route.name.clone()).or_default();
+        if rotation.parts != route.split {
+            *rotation = RouteRotation::start(&route.split, random);
         }
-        turns.next().unwrap_or_else(|| route.service.clone())
+        rotation.next().unwrap_or_else(|| route.service.clone())
     }
 }
 
-impl RouteTurns {
-    /// Turns that begin somewhere in their round, so that nodes do not keep step.
+impl RouteRotation {
+    /// Starts at random credits, so that the nodes of a fleet do not select the same part in step.
     fn start(parts: &[entry::RoutePart], random: &mut ChaCha8Rng) -> Self {
         let credit = |part: &entry::RoutePart| random.random_range(0..=i64::from(part.weight));
         Self {
@@ -53,9 +54,9 @@
             *credit += i64::from(part.weight);
         }
         let total: i64 = self.parts.iter().map(|part| i64::from(part.weight)).sum();
-        let weighed = self.parts.iter().zip(&mut self.credits);
-        let open = weighed.filter(|(part, _)| part.weight > 0);
-        let (part, credit) = open.max_by_key(|(_, credit)| **credit)?;
+        let parts = self.parts.iter().zip(&mut self.credits);
+        let weighted = parts.filter(|(part, _)| part.weight > 0);
+        let (part, credit) = weighted.max_by_key(|(_, credit)| **credit)?;
         *credit -= total;
         Some(part.service.clone())
     }
--- a/crates/engine/src/routing/table.rs
+++ b/crates/engine/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! Targets by service, kept until membership or the catalogue changes.
+//! Ready targets by service, rebuilt when membership or the catalogue changes.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::{reducer, rollout::cohort, routing};
 
-/// How far a target's data centre is from this process.
+/// Distance between this process and the data centre of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TargetDistance {
     /// In the same data centre.
@@ -34,96 +34,103 @@
     }
 }
 
-/// A target that takes work, as its node publishes it.
+/// A target that accepts work, as its node publishes it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReadyTarget {
-    /// Its name.
+    /// Name of the target.
     pub target: ids::TargetName,
-    /// The node that owns it.
+    /// Node that owns the target.
     pub instance: ids::InstanceName,
-    /// Peers address of that node.
+    /// Peer address of the owner node.
     pub address: SocketAddr,
-    /// How far it is.
+    /// Distance of the owner node's data centre.
     pub distance: TargetDistance,
-    /// Whether its node answers.
+    /// Whether the owner node is reachable.
     pub is_reachable: bool,
-    /// Requests that it runs at once, by its announcement and its service's limit.
+    /// Number of requests that the target runs at once: the smaller of its announced slots and the
+    /// limit of its service.
     pub slots: u32,
-    /// Its life under its name.
+    /// Incarnation of the target, which changes when it restarts.
     pub incarnation: ids::IncarnationNumber,
-    /// Version of its software, where it tells.
+    /// Version of the target's software, if announced.
     pub version: Option<ids::SoftwareVersion>,
-    /// Its part in a roll-out of its service.
+    /// Cohort of the target in a rollout of its service.
     pub cohort: cohort::TargetCohort,
 }
 
 /// Ready targets by service.
 #[derive(Debug, Clone, Default)]
 pub struct TargetTable {
-    /// What it was built from.
-    source: Option<(u64, ids::StateDigest)>,
+    /// Membership revision and catalogue digest that the table was built from.
+    built_from: Option<(u64, ids::StateDigest)>,
     by_service: IndexMap<ids::EntryName, Vec<ReadyTarget>>,
     /// Largest share of calls that the trial of a new version can carry, by service.
-    trial_shares: IndexMap<ids::EntryName, f64>,
+    max_trial_shares: IndexMap<ids::EntryName, f64>,
 }
 
 impl TargetTable {
-    /// Largest share of a service's calls that the trial of its new version can carry.
+    /// Returns the largest share of a service's calls that the trial of its new version can carry.
     pub fn max_trial_share(&self, service: &ids::EntryName) -> f64 {
-        self.trial_shares.get(service).copied().unwrap_or(0.0)
+        self.max_trial_shares.get(service).copied().unwrap_or(0.0)
     }
 
-    /// Ready targets of a service.
+    /// Returns the ready targets of a service.
     pub fn of_service(&self, service: &ids::EntryName) -> &[ReadyTarget] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Slots of a service's ready targets over the fleet, cut off ones included; of a roll-out under
-    /// way, those of the cohort that carries the service.
+    /// Returns the number of slots of a service's ready targets over the whole fleet, unreachable
+    /// ones included. During a rollout only the larger of the two cohort groups counts, since
+    /// either the present or the new version carries the service.
     pub fn slots(&self, service: &ids::EntryName) -> u32 {
         let targets = self.of_service(service).iter();
-        let slots_of = |wanted: fn(&&ReadyTarget) -> bool| -> u32 {
+        let sum_slots = |is_counted: fn(&&ReadyTarget) -> bool| -> u32 {
             targets
                 .clone()
-                .filter(wanted)
+                .filter(is_counted)
                 .map(|target| target.slots)
                 .sum()
         };
-        let present = slots_of(|target| target.cohort == cohort::TargetCohort::Present);
-        let coming = slots_of(|target| target.cohort != cohort::TargetCohort::Present);
-        present.max(coming)
+        let present_slots = sum_slots(|target| target.cohort == cohort::TargetCohort::Present);
+        let new_slots = sum_slots(|target| target.cohort != cohort::TargetCohort::Present);
+        present_slots.max(new_slots)
     }
 }
 
-/// Brings the table up to date; cheap when nothing changed.
+/// Rebuilds the table if membership or the catalogue has changed.
 pub fn refresh(state: &mut reducer::EngineState) {
-    let source = (
+    let built_from = (
         state.membership.revision,
         state.dissemination.in_force.digest,
     );
-    if state.routing.table.source == Some(source) {
+    if state.routing.table.built_from == Some(built_from) {
         return;
     }
-    let is_first = state.routing.table.source.is_none();
+    let is_first_build = state.routing.table.built_from.is_none();
     let mut by_service = build(state);
-    let trial_shares = assign_cohorts(state, &mut by_service);
+    let max_trial_shares = assign_cohorts(state, &mut by_service);
     for target in by_service.values().flatten() {
         let view = state.routing.views.entry(target.target.clone());
-        let first = || routing::TargetView::first_seen(state.now, is_first, target.incarnation);
-        view.or_insert_with(first)
-            .begin_life(target.incarnation, state.now);
+        let new_view =
+            || routing::TargetView::first_seen(state.now, is_first_build, target.incarnation);
+        view.or_insert_with(new_view)
+            .reset_on_restart(target.incarnation, state.now);
     }
-    // A target that was away and is ready again starts slowly again.
-    let known: indexmap::IndexSet<&ids::TargetName> = by_service
+    // Drops the views of targets that are no longer ready, so that they start slowly again when
+    // they return.
+    let ready_names: indexmap::IndexSet<&ids::TargetName> = by_service
         .values()
         .flatten()
         .map(|target| &target.target)
         .collect();
-    state.routing.views.retain(|name, _| known.contains(name));
+    state
+        .routing
+        .views
+        .retain(|name, _| ready_names.contains(name));
     state.routing.table = TargetTable {
-        source: Some(source),
+        built_from: Some(built_from),
         by_service,
-        trial_shares,
+        max_trial_shares,
     };
 }
 
@@ -132,10 +139,10 @@
     let own = &state.settings.identity;
     let catalogue = &state.dissemination.in_force;
     for member in state.membership.present() {
-        let ready = member.targets.iter();
-        for record in ready.filter(|record| record.state == wire::TargetState::Ready) {
-            let limit = catalogue.service(&record.service);
-            let slots = limit.map_or(record.slots, |service| {
+        let records = member.targets.iter();
+        for record in records.filter(|record| record.state == wire::TargetState::Ready) {
+            let service_entry = catalogue.service(&record.service);
+            let slots = service_entry.map_or(record.slots, |service| {
                 record.slots.min(service.limits.slots)
             });
             let target = ReadyTarget {
@@ -157,16 +164,17 @@
     by_service
 }
 
-/// Sets the part of each target in its service's roll-out; returns the shares that trials can carry.
+/// Assigns the targets of each service with a rollout to cohorts; returns the largest share of
+/// calls that each trial can carry.
 fn assign_cohorts(
     state: &reducer::EngineState,
     by_service: &mut IndexMap<ids::EntryName, Vec<ReadyTarget>>,
 ) -> IndexMap<ids::EntryName, f64> {
-    let mut shares = IndexMap::new();
+    let mut max_shares = IndexMap::new();
     for rollout in state.dissemination.in_force.rollouts() {
         if let Some(targets) = by_service.get_mut(&rollout.name) {
-            shares.insert(rollout.name.clone(), cohort::assign(rollout, targets));
+            max_shares.insert(rollout.name.clone(), cohort::assign(rollout, targets));
         }
     }
-    shares
+    max_shares
 }
--- a/crates/engine/src/routing/view.rs
+++ b/crates/engine/src/routing/view.rs
@@ -1,4 +1,4 @@
-//! What this process knows of one target's load and health.
+//! Load and health of one target as known to this process.
 
 use std::time::Duration;
 
@@ -8,73 +8,80 @@
 
 use crate::health;
 
-/// Share of its calls with which a new target's slow start begins.
-const FIRST_WARMTH: f64 = 0.1;
-/// Half-lives after which a measured time of a run is old.
-const FRESH_HALF_LIVES: u32 = 5;
-/// Routes whose times are remembered for a target.
-const MOST_ROUTES: usize = 16;
+/// Share of its calls that a new target gets at the beginning of its slow start.
+const MIN_SLOW_START_SHARE: f64 = 0.1;
+/// Age in half-lives from which a measured run time is ignored.
+const MAX_AGE_HALF_LIVES: u32 = 5;
+/// Number of routes whose run times are tracked per target.
+const MAX_ROUTES: usize = 16;
 
-/// One target as the ingress side of this process sees it.
+/// The state of one target on the ingress side of this process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetView {
-    /// Calls of this process that it has not finished.
+    /// Calls of this process that the target has not finished.
     pub outstanding: u32,
-    /// The life that this is known of.
-    life: ids::IncarnationNumber,
-    /// What outcomes say of it.
+    /// Incarnation of the target that this state belongs to.
+    incarnation: ids::IncarnationNumber,
+    /// Ejection state derived from the outcomes of calls.
     pub health: health::EjectionState,
-    /// When it was first seen ready; absent when it was ready before this process looked.
+    /// Time at which the target was first seen ready; `None` if it was ready before this process
+    /// started.
     ready_since: Option<time::MonotonicTime>,
-    report: Option<HeldReport>,
-    /// Times of runs by route; routes differ several times over, and targets run them in different parts.
-    runs: IndexMap<ids::EntryName, HeldRun>,
+    last_report: Option<LoadSample>,
+    /// Run times by route. Routes differ in run time by a factor of several, and targets run
+    /// different mixes of them.
+    run_times: IndexMap<ids::EntryName, RunTimeSample>,
 }
 
-/// Time of a run of one route with when it was told.
+/// The run time of one route and the time of the report that gave it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct HeldRun {
+struct RunTimeSample {
     time: Duration,
-    at: time::MonotonicTime,
+    reported_at: time::MonotonicTime,
 }
 
-/// A report with what it was taken at.
+/// A load report and the state at the time it arrived.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct HeldReport {
+struct LoadSample {
     load: wire::LoadReport,
-    at: time::MonotonicTime,
-    /// Requests of other nodes that it counts.
-    of_others: u32,
+    reported_at: time::MonotonicTime,
+    /// Requests of other nodes that the report includes.
+    from_others: u32,
 }
 
 impl TargetView {
-    /// The view of a target that is seen for the first time.
+    /// Returns the view of a target that is seen for the first time.
     pub fn first_seen(
         now: time::MonotonicTime,
         was_ready_before: bool,
-        life: ids::IncarnationNumber,
+        incarnation: ids::IncarnationNumber,
     ) -> Self {
         Self {
             outstanding: 0,
-            life,
+            incarnation,
             health: health::EjectionState::default(),
             ready_since: (!was_ready_before).then_some(now),
-            report: None,
-            runs: IndexMap::new(),
+            last_report: None,
+            run_times: IndexMap::new(),
         }
     }
 
-    /// Forgets what was measured and believed of an earlier life; calls count until they end.
-    pub fn begin_life(&mut self, life: ids::IncarnationNumber, now: time::MonotonicTime) {
-        if self.life != life {
+    /// Resets the view if the target has restarted. Outstanding calls still count until they end.
+    pub fn reset_on_restart(
+        &mut self,
+        incarnation: ids::IncarnationNumber,
+        now: time::MonotonicTime,
+    ) {
+        if self.incarnation != incarnation {
             *self = Self {
                 outstanding: self.outstanding,
-                ..Self::first_seen(now, false, life)
+                ..Self::first_seen(now, false, incarnation)
             };
         }
     }
 
-    /// Takes a report that came with an answer, while the answered call is still counted.
+    /// Records a report that came with an answer. Must be called while the answered call is still
+    /// counted as outstanding.
     pub fn record_load_report(
         &mut self,
         route: &ids::EntryName,
@@ -83,92 +90,107 @@
     ) {
         if load.route_us > 0 {
             let time = Duration::from_micros(u64::from(load.route_us));
-            self.runs.insert(route.clone(), HeldRun { time, at: now });
+            self.run_times.insert(
+                route.clone(),
+                RunTimeSample {
+                    time,
+                    reported_at: now,
+                },
+            );
         }
-        while self.runs.len() > MOST_ROUTES {
-            self.runs.shift_remove_index(0);
+        while self.run_times.len() > MAX_ROUTES {
+            self.run_times.shift_remove_index(0);
         }
-        let of_others = (load.in_flight + load.queued).saturating_sub(self.outstanding);
-        self.report = Some(HeldReport {
+        let from_others = (load.in_flight + load.queued).saturating_sub(self.outstanding);
+        self.last_report = Some(LoadSample {
             load,
-            at: now,
-            of_others,
+            reported_at: now,
+            from_others,
         });
     }
 
-    /// Requests per slot that it would have with one more: others' by its last report, and this
-    /// process's own as they are. What a report said is worth half as much for each `half_life` that
-    /// it is old; what other nodes send to a slot of the service on average takes its place, so that
-    /// a busy service's targets do not look idle only because they were not asked lately.
+    /// Returns the requests per slot that the target would have with one more call: those of other
+    /// nodes as of the last report, plus those of this process as of now.
+    ///
+    /// The reported load decays with `half_life` towards `service_load`, the mean load from other
+    /// nodes per slot of the service. Without that, the targets of a busy service would look idle
+    /// only because this node has sent them nothing lately.
     pub fn pressure(
         &self,
         slots: u32,
-        typical: f64,
+        service_load: f64,
         now: time::MonotonicTime,
         half_life: Duration,
     ) -> f64 {
-        // One that nothing was heard of yet is taken for idle: a call finds out.
-        let of_others = self.report.map_or(0.0, |report| {
-            let ages = now.since(report.at).as_secs_f64() / half_life.as_secs_f64();
-            let typical = typical * f64::from(slots);
-            let faded = typical + (f64::from(report.of_others) - typical) * (-ages).exp2();
-            // Whole requests only: else the last target to report few would win for ever.
-            faded.round()
+        // A target without a report is assumed to be idle; the first call to it brings a report.
+        let from_others = self.last_report.map_or(0.0, |sample| {
+            let age_half_lives =
+                now.since(sample.reported_at).as_secs_f64() / half_life.as_secs_f64();
+            let mean = service_load * f64::from(slots);
+            let estimate = mean + (f64::from(sample.from_others) - mean) * (-age_half_lives).exp2();
+            // Rounded to whole requests: otherwise the target that last reported a low load would
+            // always win by a fraction.
+            estimate.round()
         });
-        (of_others + f64::from(self.outstanding) + 1.0) / f64::from(slots.max(1))
+        (from_others + f64::from(self.outstanding) + 1.0) / f64::from(slots.max(1))
     }
 
-    /// Requests of other nodes per slot, by its last report; zero before the first.
+    /// Returns the requests of other nodes per slot as of the last report; zero before the first.
     pub fn others_per_slot(&self) -> f64 {
-        self.report.map_or(0.0, |report| {
-            f64::from(report.of_others) / f64::from(report.load.slots.max(1))
+        self.last_report.map_or(0.0, |sample| {
+            f64::from(sample.from_others) / f64::from(sample.load.slots.max(1))
         })
     }
 
-    /// Slots that its node uses of those announced, by its last report.
+    /// Returns how many of the announced slots the owner node uses, as of the last report.
     pub fn usable_slots(&self, announced: u32) -> u32 {
-        let reported = self.report.map_or(announced, |report| report.load.slots);
-        reported.min(announced).max(1)
+        let reported_slots = self
+            .last_report
+            .map_or(announced, |sample| sample.load.slots);
+        reported_slots.min(announced).max(1)
     }
 
-    /// Measured time of a run of a route in seconds, unless it was told long ago: then the target is tried
-    /// again.
-    pub fn fresh_run_s(
+    /// Returns the measured run time of a route in seconds; `None` if it is too old, so that the
+    /// target is tried again.
+    pub fn recent_run_time_s(
         &self,
         route: &ids::EntryName,
         now: time::MonotonicTime,
         half_life: Duration,
     ) -> Option<f64> {
-        let run = self.runs.get(route)?;
-        let is_fresh = now.since(run.at) < half_life * FRESH_HALF_LIVES;
-        is_fresh.then_some(run.time.as_secs_f64())
+        let sample = self.run_times.get(route)?;
+        let is_recent = now.since(sample.reported_at) < half_life * MAX_AGE_HALF_LIVES;
+        is_recent.then_some(sample.time.as_secs_f64())
     }
 
-    /// Measured time of a run of any route in seconds: how long a slot is held; unless the report is old.
-    pub fn fresh_service_s(&self, now: time::MonotonicTime, half_life: Duration) -> Option<f64> {
-        let is_fresh = |report: &HeldReport| now.since(report.at) < half_life * FRESH_HALF_LIVES;
-        let report = self.report.filter(is_fresh)?;
-        (report.load.service_us > 0).then(|| f64::from(report.load.service_us) / 1e6)
+    /// Returns the mean time in seconds that a run holds a slot, over all routes; `None` if there
+    /// is no recent report.
+    pub fn recent_slot_hold_s(&self, now: time::MonotonicTime, half_life: Duration) -> Option<f64> {
+        let is_recent =
+            |sample: &LoadSample| now.since(sample.reported_at) < half_life * MAX_AGE_HALF_LIVES;
+        let sample = self.last_report.filter(is_recent)?;
+        (sample.load.service_us > 0).then(|| f64::from(sample.load.service_us) / 1e6)
     }
 
-    /// Measured time of a run of a route; zero before the first report.
+    /// Returns the measured run time of a route; zero before the first report.
     pub fn run_time(&self, route: &ids::EntryName) -> Duration {
-        let run = self.runs.get(route);
-        run.map_or(Duration::ZERO, |run| run.time)
+        let sample = self.run_times.get(route);
+        sample.map_or(Duration::ZERO, |sample| sample.time)
     }
 
-    /// Whether it may take a call beside those that it has: after an ejection it takes one at a
-    /// time, until one was answered.
-    pub fn has_room(&self, now: time::MonotonicTime) -> bool {
-        self.outstanding == 0 || !self.health.is_on_trial(now)
+    /// Returns whether the target may take another call. After an ejection it gets one call at a
+    /// time until one has been answered.
+    pub fn admits_call(&self, now: time::MonotonicTime) -> bool {
+        self.outstanding == 0 || !self.health.is_on_probation(now)
     }
 
-    /// Share of its calls that it takes by now: grows over the slow start.
-    pub fn warmth(&self, now: time::MonotonicTime, slow_start: Duration) -> f64 {
+    /// Returns the share of its calls that the target gets, which grows linearly over the slow
+    /// start.
+    pub fn slow_start_share(&self, now: time::MonotonicTime, slow_start: Duration) -> f64 {
         let Some(start) = self.ready_since else {
             return 1.0;
         };
         let share = now.since(start).as_secs_f64() / slow_start.as_secs_f64().max(f64::EPSILON);
-        share.clamp(FIRST_WARMTH, 1.0)
+        share.clamp(MIN_SLOW_START_SHARE, 1.0)
     }
 }
--- a/crates/engine/tests/expected.rs
+++ b/crates/engine/tests/expected.rs
@@ -1,4 +1,4 @@
-//! The choice of the target that is expected to answer first.
+//! Tests of the selection by expected latency.
 
 use std::time::Duration;
 
@@ -13,11 +13,12 @@
 
 struct Ingress {
     node: node::NodeReducer,
-    last: u64,
+    last_call: u64,
 }
 
 impl Ingress {
-    /// Targets by name, data centre and time of a run in milliseconds, which was reported once.
+    /// Creates targets given as (name, data centre, run time in milliseconds); each reports its run
+    /// time once.
     fn new(targets: &[(&str, &str, u32)]) -> Self {
         let entries = json!([
             {"kind": "class", "name": "counter", "owner": "registru", "class": "counter"},
@@ -33,10 +34,10 @@
             let identity = node::identity(&format!("node-{name}"), data_centre, "ro-centru");
             node.hear(&identity, 1, vec![node::target(name, "registru", SLOTS)]);
         }
-        let mut ingress = Self { node, last: 0 };
-        // The first call makes the targets known.
+        let mut ingress = Self { node, last_call: 0 };
+        // The first call creates the views of the targets.
         ingress.arrive();
-        let first = calls::CallEvent::Finished(ids::CallId(ingress.last));
+        let first = calls::CallEvent::Finished(ids::CallId(ingress.last_call));
         ingress.node.call(first);
         for (name, _, run_ms) in targets {
             ingress.report(name, 0, run_ms * 1000);
@@ -48,7 +49,8 @@
         self.report_of_route(target, in_flight, service_us, service_us);
     }
 
-    /// What a target that runs calls of several routes reports with an answer to a lookup.
+    /// Reports from a target that runs several routes: `service_us` is its mean over all routes,
+    /// `route_us` that of the tested one.
     fn report_of_route(&mut self, target: &str, in_flight: u32, service_us: u32, route_us: u32) {
         let load = wire::LoadReport {
             in_flight,
@@ -66,8 +68,8 @@
     }
 
     fn arrive(&mut self) -> calls::AttemptPlan {
-        self.last += 1;
-        let arrival = node::arrival(self.last, "/vehicles");
+        self.last_call += 1;
+        let arrival = node::arrival(self.last_call, "/vehicles");
         let effects = self.node.call(calls::CallEvent::Arrived(arrival));
         let plan = effects.into_iter().find_map(|effect| match effect {
             calls::CallEffect::Attempt(_, plan) => Some(plan),
@@ -91,13 +93,13 @@
     let mut ingress = Ingress::new(&[("slow", "brasov-a", 300), ("fast", "brasov-a", 100)]);
     let spread = ingress.spread(6);
     assert!(spread["fast"] >= 5, "{spread:?}");
-    // 12 that wait for the fast one take 200 ms, as much as the slow one is slower.
+    // Twelve calls queued at the fast target wait 200 ms, which is the difference in run time.
     let more = ingress.spread(24);
     let slow = more.get("slow").copied().unwrap_or_default();
     assert!((3..=12).contains(&slow), "{more:?}");
 }
 
-/// A target that also runs many short calls of another route is no faster for a long one.
+/// A target that also runs many short calls of another route must not count as fast for a long one.
 #[test]
 fn short_runs_not_speed() {
     let mut ingress = Ingress::new(&[("mixed", "brasov-a", 100), ("plain", "brasov-a", 100)]);
@@ -107,7 +109,7 @@
     assert_eq!(
         spread,
         IndexMap::from([("plain".into(), 2)]),
-        "it has free slots"
+        "only this target has free slots"
     );
 }
 
@@ -121,16 +123,20 @@
     assert_eq!(spread, IndexMap::from([("far".into(), 4)]));
 }
 
-/// A node without room gives the offer back; that costs neither a try of the route nor budget.
+/// A node without a free slot declines the offer; this uses up neither an attempt of the route nor
+/// retry budget.
 #[test]
 fn next_place_free() {
     let names = ["one", "two", "three"];
     let mut ingress = Ingress::new(&names.map(|name| (name, "brasov-a", 100)));
     let mut plan = ingress.arrive();
-    let call = ids::CallId(ingress.last);
+    let call = ids::CallId(ingress.last_call);
     let mut tried = vec![plan.offer.target.to_string()];
     for _ in 0..2 {
-        assert!(plan.offer.patience_ms < 1000, "another place may be better");
+        assert!(
+            plan.offer.patience_ms < 1000,
+            "another target may be better"
+        );
         let code = hazeltiller_units::code::ResultCode::LatencyUnreachable;
         let refusal = wire::CallRefusal::not_run(code).elsewhere();
         let result = calls::AttemptResult::Refused(refusal);
@@ -146,21 +152,21 @@
                 calls::CallEffect::Attempt(_, plan) => Some(plan),
                 _ => None,
             })
-            .expect("there is another place");
+            .expect("there is another target");
         tried.push(plan.offer.target.to_string());
     }
     tried.sort();
     assert_eq!(tried, ["one", "three", "two"]);
-    assert_eq!(plan.offer.patience_ms, u32::MAX, "there is no other place");
+    assert_eq!(plan.offer.patience_ms, u32::MAX, "there is no other target");
     ingress.node.pass(Duration::from_millis(20));
 }
 
 impl Ingress {
-    /// Has a call answered by a near target with a body of so many bytes, some times over.
+    /// Runs 20 calls that a near target answers with a body of `bytes`.
     fn answer(&mut self, bytes: u64) {
         for _ in 0..20 {
             self.arrive();
-            let call = ids::CallId(self.last);
+            let call = ids::CallId(self.last_call);
             self.node.call(calls::CallEvent::AttemptEnded {
                 call,
                 result: calls::AttemptResult::Answered { status: 200 },
@@ -170,10 +176,10 @@
         }
     }
 
-    /// Has an offer given back after a time.
-    fn give_back(&mut self, took: Duration) {
+    /// Declines one offer after the given time.
+    fn decline_after(&mut self, took: Duration) {
         self.arrive();
-        let call = ids::CallId(self.last);
+        let call = ids::CallId(self.last_call);
         self.node.pass(took);
         let code = hazeltiller_units::code::ResultCode::LatencyUnreachable;
         self.node.call(calls::CallEvent::AttemptEnded {
@@ -185,8 +191,8 @@
     }
 }
 
-/// Bytes between data centres cost: where the near target is late by 60 ms, a small answer comes from
-/// afar and one of 20 kilobytes does not.
+/// Traffic between data centres is costly: where the near target is 60 ms slower, a small answer
+/// comes from the other data centre and one of 20 kilobytes does not.
 #[test]
 fn large_stay_near() {
     for (bytes, expected) in [(200, "far"), (20_000, "near")] {
@@ -199,20 +205,24 @@
     }
 }
 
-/// A node that learns that asking others takes long asks them less: its own target first, and an
-/// offer that waits a little is not worth another one.
+/// A node that measures a high cost of offers makes fewer of them: it prefers its own target, and
+/// offers a call elsewhere only if that saves more queueing time than an offer costs.
 #[test]
-fn dear_offers() {
+fn costly_offers() {
     let mut ingress = Ingress::new(&[("other", "brasov-a", 100)]);
     ingress
         .node
         .announce(node::target("own", "registru", SLOTS));
     let first = ingress.arrive();
-    assert_eq!(first.offer.target.as_str(), "own", "no hop");
+    assert_eq!(
+        first.offer.target.as_str(),
+        "own",
+        "its own target needs no offer"
+    );
     let mut cheap = Ingress::new(&[("one", "brasov-a", 100), ("two", "brasov-a", 100)]);
     let before = cheap.arrive().offer.patience_ms;
     for _ in 0..60 {
-        cheap.give_back(Duration::from_millis(80));
+        cheap.decline_after(Duration::from_millis(80));
     }
     cheap.report("one", 0, 100_000);
     cheap.report("two", 0, 100_000);
@@ -220,10 +230,10 @@
     assert!(after >= before + 50, "{before} ms, then {after} ms");
 }
 
-/// What was heard of a busy service's target a while ago fades to what its targets have on the whole,
-/// not to nothing: the one that was not asked for longest is not taken for idle.
+/// The old report of a target decays to the mean load of its service and not to zero, so the target
+/// that was not used for longest is not taken for idle.
 #[test]
-fn old_reports() {
+fn old_reports_decay() {
     let mut ingress = Ingress::new(&[("old", "brasov-a", 100), ("new", "brasov-a", 100)]);
     ingress.report("old", 2 * SLOTS, 100_000);
     ingress.node.pass(Duration::from_secs(4));
--- a/crates/engine/tests/routing.rs
+++ b/crates/engine/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of routes and targets.
+//! Tests of route matching and target selection.
 
 use std::{sync::Arc, time::Duration};
 
@@ -53,15 +53,15 @@
     assert!(index.find(catalogue, None, "", "GET").is_none());
 }
 
-/// An ingress node with targets elsewhere.
+/// An ingress node with targets on other nodes.
 struct Ingress {
     node: node::NodeReducer,
-    last: u64,
+    last_call: u64,
     service_us: fn(&str) -> u32,
 }
 
 impl Ingress {
-    /// Targets as (name, data centre, region, slots), each at a node of its own.
+    /// Creates targets given as (name, data centre, region, slots), each on a node of its own.
     fn new(targets: &[(&str, &str, &str, u32)]) -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries());
         for (name, data_centre, region, slots) in targets {
@@ -71,21 +71,21 @@
         }
         Self {
             node,
-            last: 0,
+            last_call: 0,
             service_us: |_| 1000,
         }
     }
 
-    /// A call's number and target; `None` where it was refused.
+    /// Returns the id and target of a new call; `None` if the call was refused.
     fn arrive(&mut self, path: &str) -> Option<(ids::CallId, String)> {
-        self.last += 1;
-        let arrival = node::arrival(self.last, path);
+        self.last_call += 1;
+        let arrival = node::arrival(self.last_call, path);
         let effects = self.node.call(calls::CallEvent::Arrived(arrival));
         let target = effects.into_iter().find_map(|effect| match effect {
             calls::CallEffect::Attempt(_, plan) => Some(plan.offer.target.to_string()),
             _ => None,
         })?;
-        Some((ids::CallId(self.last), target))
+        Some((ids::CallId(self.last_call), target))
     }
 
     fn answer(&mut self, call: ids::CallId, load: Option<wire::LoadReport>) {
@@ -101,7 +101,8 @@
         self.node.call(calls::CallEvent::Finished(call));
     }
 
-    /// Where calls go that are answered at once, with the load that `load` gives for a target.
+    /// Counts the targets of `count` calls that are answered at once with the in-flight number
+    /// `load` in their report.
     fn spread(
         &mut self,
         path: &str,
@@ -127,7 +128,7 @@
 }
 
 const NEAR: (&str, &str, &str, u32) = ("near", "brasov-a", "ro-centru", 10);
-const NEAR_2: (&str, &str, &str, u32) = ("near-2", "brasov-a", "ro-centru", 10);
+const SECOND_NEAR: (&str, &str, &str, u32) = ("near-2", "brasov-a", "ro-centru", 10);
 const REGION: (&str, &str, &str, u32) = ("region", "sibiu-a", "ro-centru", 10);
 const REMOTE: (&str, &str, &str, u32) = ("remote", "iasi-a", "ro-est", 10);
 
@@ -158,7 +159,7 @@
 
 #[test]
 fn own_calls_counted() {
-    let mut ingress = Ingress::new(&[NEAR, NEAR_2]);
+    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
     let mut counts = IndexMap::<String, u32>::new();
     for _ in 0..10 {
         let (_, target) = ingress.arrive("/").expect("there are targets");
@@ -166,33 +167,39 @@
     }
     assert_eq!(
         counts["near"], 5,
-        "unanswered calls are counted: {counts:?}"
+        "unanswered calls count as load: {counts:?}"
     );
 }
 
 #[test]
 fn slow_gets_less() {
-    let mut ingress = Ingress::new(&[NEAR, NEAR_2]);
+    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
     ingress.service_us = |target| if target == "near" { 5000 } else { 1000 };
     let spread = ingress.spread("/", 100, |_| 3);
-    assert!(spread["near"] <= 2, "five times slower: {spread:?}");
+    assert!(spread["near"] <= 2, "it is five times slower: {spread:?}");
     let full = |target: &str| if target == "near" { 1 } else { 30 };
     let spread = ingress.spread("/", 100, full);
-    assert!(spread["near"] >= 98, "a full one still loses: {spread:?}");
-    let mut ingress = Ingress::new(&[NEAR, NEAR_2]);
+    assert!(spread["near"] >= 98, "the fast target is full: {spread:?}");
+    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
     ingress.service_us = |target| if target == "near" { 1300 } else { 1000 };
     let spread = ingress.spread("/", 100, |_| 3);
-    assert!(spread["near"] >= 30, "within what is measured: {spread:?}");
+    assert!(
+        spread["near"] >= 30,
+        "the difference is within measurement error: {spread:?}"
+    );
 }
 
 #[test]
 fn reports_fade() {
-    let mut ingress = Ingress::new(&[NEAR, NEAR_2]);
+    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
     let spread = ingress.spread("/", 100, |target| if target == "near" { 9 } else { 1 });
     assert!(spread["near"] <= 2, "{spread:?}");
     ingress.node.pass(Duration::from_secs(30));
     let spread = ingress.spread("/", 100, |_| 1);
-    assert!(spread["near"] >= 30, "old news is no reason: {spread:?}");
+    assert!(
+        spread["near"] >= 30,
+        "the old report has decayed: {spread:?}"
+    );
 }
 
 #[test]
@@ -210,18 +217,21 @@
     }
     assert!(
         (20..=150).contains(&shares[0]),
-        "a tenth at first: {shares:?}"
+        "a tenth of its share at first: {shares:?}"
+    );
+    assert!(
+        (180..=380).contains(&shares[1]),
+        "half of its share at half time: {shares:?}"
     );
-    assert!((180..=380).contains(&shares[1]), "half by half: {shares:?}");
     assert!(
         (400..=600).contains(&shares[2]),
-        "all at its end: {shares:?}"
+        "its full share at the end: {shares:?}"
     );
 }
 
 #[test]
 fn leaving_is_out() {
-    let mut ingress = Ingress::new(&[NEAR, NEAR_2]);
+    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
     ingress.spread("/", 10, |_| 0);
     let identity = node::identity("node-near", "brasov-a", "ro-centru");
     let mut record = node::target("near", "registru", 10);
@@ -234,7 +244,7 @@
 #[test]
 fn silent_is_last() {
     let mut ingress = Ingress::new(&[NEAR]);
-    // Nobody is heard from for long enough that membership holds the node unreachable.
+    // No messages arrive for long enough that membership considers the node unreachable.
     for _ in 0..600 {
         ingress.node.pass(Duration::from_millis(100));
     }
@@ -245,13 +255,17 @@
     ingress.node.hear(&identity, 1, region);
     let spread = ingress.spread("/", 20, |_| 0);
     assert_eq!(spread, IndexMap::from([("region".into(), 20)]));
-    let last = ingress.arrive("/near").map(|(_, target)| target);
-    assert_eq!(last.as_deref(), Some("near"), "unreachable is not gone");
+    let chosen = ingress.arrive("/near").map(|(_, target)| target);
+    assert_eq!(
+        chosen.as_deref(),
+        Some("near"),
+        "an unreachable target is the last resort"
+    );
 }
 
-/// A caller that is refused for want of a catalogue or a target is told when to come back.
+/// A caller that is refused because there is no catalogue or no target is told when to retry.
 #[test]
-fn return_said() {
+fn retry_after_given() {
     let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries());
     let held = Arc::clone(&node.state.dissemination.in_force);
     let absent = Arc::default();
@@ -259,14 +273,17 @@
         (held, code::ResultCode::TargetMissing, 750..=1500),
         (absent, code::ResultCode::CatalogueMissing, 375..=750),
     ];
-    for (call, (catalogue, code, returns)) in table.into_iter().enumerate() {
+    for (call, (catalogue, code, retry_after_ms)) in table.into_iter().enumerate() {
         node.state.dissemination.in_force = catalogue;
         let arrival = node::arrival(call as u64, "/");
         let effects = node.call(calls::CallEvent::Arrived(arrival));
         let [calls::CallEffect::Refuse(_, refusal)] = effects.as_slice() else {
-            panic!("nothing can serve it: {effects:?}");
+            panic!("there is no catalogue or no target: {effects:?}");
         };
         assert_eq!(refusal.code, code);
-        assert!(returns.contains(&refusal.retry_after_ms), "{refusal:?}");
+        assert!(
+            retry_after_ms.contains(&refusal.retry_after_ms),
+            "{refusal:?}"
+        );
     }
 }
--- a/crates/engine/tests/split.rs
+++ b/crates/engine/tests/split.rs
@@ -1,4 +1,4 @@
-//! Routes whose calls are split between services.
+//! Tests of routes whose calls are split between services.
 
 use hazeltiller_engine::calls;
 use hazeltiller_testkit::node;
@@ -27,7 +27,7 @@
     node
 }
 
-/// Targets of so many calls; empty for those that were refused.
+/// Counts the targets of `count` calls; refused calls count under an empty name.
 fn shares(node: &mut node::NodeReducer, first: u64, count: u64) -> IndexMap<String, u64> {
     let mut shares = IndexMap::new();
     for call in first..first + count {
