--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -24,9 +24,9 @@
         let engine = engine.clone();
         tokio::spawn(async move {
             let asked = time::timeout(plan.timeout, ask(plan.address, &plan.path)).await;
-            let is_good = matches!(asked, Ok(Ok(status)) if status.is_success());
+            let is_healthy = matches!(asked, Ok(Ok(status)) if status.is_success());
             let target = plan.target;
-            let event = health::HealthEvent::Probed { target, is_good };
+            let event = health::HealthEvent::Probed { target, is_healthy };
             engine.tell(event::Event::Health(event));
         });
     }
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -146,7 +146,7 @@
         .ingress
         .get(&call)
         .map(|record| &record.terms.service);
-    let tried_in = service.and_then(|service| health::unreached_for(state, service));
+    let tried_in = service.and_then(|service| health::connect_retry_delay(state, service));
     let room_in = tried_in.unwrap_or(TARGET_RETURN).as_millis() as u32;
     let retry_after_ms = spread(state, room_in.max(1));
     let refusal = wire::CallRefusal {
@@ -357,11 +357,11 @@
     let is_failing = load.is_some_and(|load| load.is_failing);
     match result {
         _ if is_failing => view.health.eject(now, first),
-        calls::AttemptResult::NotReached => view.health.note_unreached(now, first),
-        calls::AttemptResult::Lost => view.health.note_failure(now, first, tunables),
+        calls::AttemptResult::NotReached => view.health.record_connect_failure(now, first),
+        calls::AttemptResult::Lost => view.health.record_failure(now, first, tunables),
         calls::AttemptResult::Refused(refusal) => {
             if refusal.outcome == wire::CallOutcome::Unknown {
-                view.health.note_failure(now, first, tunables);
+                view.health.record_failure(now, first, tunables);
             } else if retry::is_leaving(refusal) {
                 view.health.eject(now, first);
             }
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -31,7 +31,7 @@
     if offer.deadline_left_ms == 0 {
         return calls::refuse(call, code::ResultCode::DeadlineExceeded, output);
     }
-    if let Some(refusal) = quarantine::hold_off(state, call, &offer) {
+    if let Some(refusal) = quarantine::check_offer(state, call, &offer) {
         return output.refuse(call, refusal);
     }
     let deadline = state.now + Duration::from_millis(u64::from(offer.deadline_left_ms));
@@ -79,7 +79,7 @@
 ) {
     evict(state, target, output);
     admission::end_life(state, target);
-    health::end_life(state, target);
+    health::end_incarnation(state, target);
 }
 
 /// The life that an own target is in.
@@ -141,7 +141,7 @@
     result: calls::RunResult,
     output: &mut event::ReducerOutput,
 ) {
-    state.quarantine.end(call);
+    state.quarantine.end_call(call);
     let Some(record) = state.calls.owner.swap_remove(&call) else {
         return;
     };
@@ -155,7 +155,7 @@
         return;
     }
     let is_late = record.deadline <= state.now;
-    health::end_run(state, &offer.target, result, is_late);
+    health::record_run_result(state, &offer.target, result, is_late);
     if result == calls::RunResult::Misplaced {
         let gone = membership::MembershipEvent::Misplaced(offer.target.clone());
         output.follow(event::Event::Membership(gone));
--- a/crates/engine/src/health.rs
+++ b/crates/engine/src/health.rs
@@ -15,7 +15,7 @@
 mod ejection;
 mod outcome;
 
-pub use ejection::{EjectionState, ejected_targets, unreached_for};
+pub use ejection::{EjectionState, connect_retry_delay, ejected_targets};
 pub use outcome::OutcomeWindow;
 
 /// Events of health.
@@ -26,7 +26,7 @@
         /// Which target.
         target: ids::TargetName,
         /// Whether it said good in time.
-        is_good: bool,
+        is_healthy: bool,
     },
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// Takes how a run of an own target ended; `is_late` when its deadline was over by then.
-pub fn end_run(
+pub fn record_run_result(
     state: &mut reducer::EngineState,
     target: &ids::TargetName,
     result: calls::RunResult,
@@ -110,18 +110,18 @@
 }
 
 /// Forgets the outcomes of a target that started again.
-pub fn end_life(state: &mut reducer::EngineState, target: &ids::TargetName) {
+pub fn end_incarnation(state: &mut reducer::EngineState, target: &ids::TargetName) {
     state.health.own.shift_remove(target);
 }
 
 /// Takes an event of health.
-pub fn take(state: &mut reducer::EngineState, event: HealthEvent) {
-    let HealthEvent::Probed { target, is_good } = event;
+pub fn handle_event(state: &mut reducer::EngineState, event: HealthEvent) {
+    let HealthEvent::Probed { target, is_healthy } = event;
     if !state.membership.targets.contains_key(&target) {
         return;
     }
     let health = state.health.own.entry(target).or_default();
-    health.bad_probes = if is_good { 0 } else { health.bad_probes + 1 };
+    health.bad_probes = if is_healthy { 0 } else { health.bad_probes + 1 };
 }
 
 /// Takes the passing of time: probes that are due are made, and targets that left are forgotten.
--- a/crates/engine/src/health/ejection.rs
+++ b/crates/engine/src/health/ejection.rs
@@ -51,7 +51,7 @@
     }
 
     /// Keeps calls away from a target whose node could not be connected to, for half of a first ejection.
-    pub fn note_unreached(&mut self, now: time::MonotonicTime, first: Duration) {
+    pub fn record_connect_failure(&mut self, now: time::MonotonicTime, first: Duration) {
         if !self.is_ejected(now) {
             self.until = Some(now + first / 2);
             self.is_connect_failing = true;
@@ -75,7 +75,7 @@
     }
 
     /// Takes a failure that this process saw itself.
-    pub fn note_failure(
+    pub fn record_failure(
         &mut self,
         now: time::MonotonicTime,
         first: Duration,
@@ -119,7 +119,10 @@
 
 /// Shortest time until a target of a service that could not be connected to is tried again; `None` when
 /// there is no such one.
-pub fn unreached_for(state: &reducer::EngineState, service: &ids::EntryName) -> Option<Duration> {
+pub fn connect_retry_delay(
+    state: &reducer::EngineState,
+    service: &ids::EntryName,
+) -> Option<Duration> {
     let targets = state.routing.table.of_service(service).iter();
     let views = targets.filter_map(|target| state.routing.views.get(&target.target));
     let unreached = views.filter(|view| view.health.is_connect_failing(state.now));
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -60,7 +60,7 @@
     }
 
     /// Notes the end of a call.
-    pub fn end(&mut self, call: ids::CallId) {
+    pub fn end_call(&mut self, call: ids::CallId) {
         if !self.alone.is_empty() {
             self.alone.retain(|_, alone| *alone != call);
         }
@@ -113,7 +113,7 @@
 
 /// Why an offered call is not run at its target now, if it is held off: it crashes targets, or it
 /// would run beside a suspect, or is one and would run beside others.
-pub fn hold_off(
+pub fn check_offer(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     offer: &wire_calls::CallOffer,
@@ -154,7 +154,7 @@
 }
 
 /// Takes a crash of an own target, and tells every other node at once.
-pub fn take(
+pub fn handle_event(
     state: &mut reducer::EngineState,
     event: QuarantineEvent,
     output: &mut event::ReducerOutput,
--- a/crates/engine/src/reducer.rs
+++ b/crates/engine/src/reducer.rs
@@ -128,7 +128,7 @@
         event::Event::Membership(event) => membership::take(state, event, output),
         event::Event::Calls(event) => calls::take(state, event, output),
         event::Event::Ledger(event) => ledger::take(state, event, output),
-        event::Event::Quarantine(event) => quarantine::take(state, event, output),
-        event::Event::Health(event) => health::take(state, event),
+        event::Event::Quarantine(event) => quarantine::handle_event(state, event, output),
+        event::Event::Health(event) => health::handle_event(state, event),
     }
 }
--- a/crates/engine/src/routing/table.rs
+++ b/crates/engine/src/routing/table.rs
@@ -114,7 +114,7 @@
         let new_view =
             || routing::TargetView::first_seen(state.now, is_first_build, target.incarnation);
         view.or_insert_with(new_view)
-            .reset_on_restart(target.incarnation, state.now);
+            .begin_incarnation(target.incarnation, state.now);
     }
     // Drops the views of targets that are no longer ready, so that they start slowly again when
     // they return.
--- a/crates/engine/src/routing/view.rs
+++ b/crates/engine/src/routing/view.rs
@@ -67,7 +67,7 @@
     }
 
     /// Resets the view if the target has restarted. Outstanding calls still count until they end.
-    pub fn reset_on_restart(
+    pub fn begin_incarnation(
         &mut self,
         incarnation: ids::IncarnationNumber,
         now: time::MonotonicTime,
--- a/crates/engine/tests/health.rs
+++ b/crates/engine/tests/health.rs
@@ -47,9 +47,9 @@
         self.node.call(calls::CallEvent::RunEnded { call, result });
     }
 
-    fn probe(&mut self, is_good: bool) {
+    fn probe(&mut self, is_healthy: bool) {
         let target = name(TARGET);
-        let probed = health::HealthEvent::Probed { target, is_good };
+        let probed = health::HealthEvent::Probed { target, is_healthy };
         self.node.reduce(event::Event::Health(probed));
     }
 
