--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -44,7 +44,7 @@
     loop {
         let (stream, _from) = tokio::select! {
             accepted = listener::accept(&listener, "callers") => accepted,
-            () = context.drain.reached(drain::DrainPhase::Closing) => return,
+            () = context.drain.wait_for_phase(drain::DrainPhase::Closing) => return,
         };
         tokio::spawn(serve_connection(Arc::clone(&context), stream));
     }
@@ -55,8 +55,8 @@
     let bounds = connection_bounds(&context);
     let mut first = BytesMut::new();
     let is_second = tokio::select! {
-        is_second = is_http2(&mut stream, &mut first, bounds.idle_time) => is_second,
-        () = context.drain.reached(drain::DrainPhase::Closing) => None,
+        is_second = is_http2(&mut stream, &mut first, bounds.idle_timeout) => is_second,
+        () = context.drain.wait_for_phase(drain::DrainPhase::Closing) => None,
     };
     let Some(is_second) = is_second else {
         return;
@@ -91,7 +91,7 @@
 async fn serve_http2(
     context: &Arc<process::ProcessContext>,
     stream: impl AsyncRead + AsyncWrite + Unpin + Send + 'static,
-    bounds: &http1::ConnectionBounds,
+    bounds: &http1::ConnectionLimits,
 ) {
     let shared = Arc::clone(context);
     let service = service::service_fn(move |request: Request<Incoming>| {
@@ -104,12 +104,12 @@
     let mut server = http2::Builder::new(rt::TokioExecutor::new());
     server
         .timer(rt::TokioTimer::new())
-        .max_header_list_size(bounds.head_bytes as u32);
+        .max_header_list_size(bounds.max_head_bytes as u32);
     let connection = server.serve_connection(rt::TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let served = tokio::select! {
         served = connection.as_mut() => served,
-        () = context.drain.reached(drain::DrainPhase::Closing) => {
+        () = context.drain.wait_for_phase(drain::DrainPhase::Closing) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -120,26 +120,26 @@
 }
 
 /// Bounds of a connection that opens now: the catalogue's, or those of the settings.
-fn connection_bounds(context: &process::ProcessContext) -> http1::ConnectionBounds {
-    let settings = &context.requests;
+fn connection_bounds(context: &process::ProcessContext) -> http1::ConnectionLimits {
+    let settings = &context.request_tunables;
     let limits = context.in_force.borrow().listener_limits();
     let limits = limits.unwrap_or(entry::ListenerLimits {
         head_bytes: settings.head_bytes as u32,
         head_ms: settings.head_ms as u32,
         ..entry::ListenerLimits::default()
     });
-    http1::ConnectionBounds {
-        head_bytes: limits.head_bytes as usize,
-        head_lines: settings.head_lines as usize,
-        head_time: Duration::from_millis(u64::from(limits.head_ms)),
-        idle_time: Duration::from_millis(u64::from(limits.idle_ms)),
+    http1::ConnectionLimits {
+        max_head_bytes: limits.head_bytes as usize,
+        max_headers: settings.head_lines as usize,
+        head_timeout: Duration::from_millis(u64::from(limits.head_ms)),
+        idle_timeout: Duration::from_millis(u64::from(limits.idle_ms)),
     }
 }
 
 /// Serves the requests of one connection.
 struct CallerService(Arc<process::ProcessContext>);
 
-impl http1::CallService for CallerService {
+impl http1::CallHandler for CallerService {
     async fn serve(&self, request: http1::CallRequest) -> http1::CallResponse {
         serve_request(Arc::clone(&self.0), request).await
     }
@@ -161,7 +161,7 @@
     match served {
         Ok(mut response) => {
             http::strip_hop_headers(response.headers_mut());
-            dialect.tell_caller(response.headers_mut(), &id);
+            dialect.set_caller_headers(response.headers_mut(), &id);
             response
         }
         Err(refusal) => dialect.refuse(&refusal, &id),
@@ -195,7 +195,7 @@
     context: &Arc<process::ProcessContext>,
     id: ids::RequestId,
     request: http1::CallRequest,
-    told: Result<dialect::CallHead, dialect::HeadFault>,
+    told: Result<dialect::CallHead, dialect::HeaderError>,
 ) -> Result<CallerRequest, wire::CallRefusal> {
     let malformed = || wire::CallRefusal::not_run(code::ResultCode::RequestMalformed);
     let caller = context.caller.as_ref();
@@ -214,7 +214,7 @@
     if named.map_or(true, |head| head.request.as_ref() != Some(&id)) {
         trace::label(&mut parts.headers, &id);
     }
-    let bound = context.requests.replay_bytes;
+    let bound = context.request_tunables.replay_bytes;
     let length = body.size_hint().exact();
     let source = replay::BodySource::new(limited(body, body_bytes), bound as usize);
     let read = match length {
--- a/crates/daemon/src/callers/attempt.rs
+++ b/crates/daemon/src/callers/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response, Uri, body::Body};
 use tokio::time;
 
-use crate::{hold, http, owner, pool, process, trace};
+use crate::{http, owner, pool, process, response_buffer, trace};
 
 /// Time past the deadline in which the owner node's own refusal may still come.
 const DEADLINE_GRACE: Duration = Duration::from_millis(20);
@@ -41,7 +41,7 @@
             Ok(Err(pool::SendError::NotConnected { .. })) => {
                 return without_report(calls::AttemptResult::NotReached);
             }
-            Ok(Err(pool::SendError::Broken { .. })) => {
+            Ok(Err(pool::SendError::ConnectionLost { .. })) => {
                 return without_report(calls::AttemptResult::Lost);
             }
             Err(_elapsed) => return without_report(late()),
@@ -69,15 +69,15 @@
     if response.body().size_hint().exact().is_none() {
         return Ok(response);
     }
-    let bound = context.requests.answer_hold_bytes;
+    let bound = context.request_tunables.answer_hold_bytes;
     let (parts, body) = response.into_parts();
-    match hold::hold(body, &parts, bound, due).await {
+    match response_buffer::buffer(body, &parts, bound, due).await {
         Ok(body) => Ok(Response::from_parts(parts, body)),
-        Err(hold::HoldError::Broken { message }) => {
+        Err(response_buffer::BufferError::Interrupted { message }) => {
             log::debug!("answer of another node: {message}");
             Err(calls::AttemptResult::Lost)
         }
-        Err(hold::HoldError::Late) => Err(late()),
+        Err(response_buffer::BufferError::DeadlineExceeded) => Err(late()),
     }
 }
 
@@ -107,7 +107,7 @@
     };
     let headers = request.headers_mut();
     headers.insert(wire::TERMS_HEADER, http::record_value(&terms));
-    headers.insert(wire::OFFER_HEADER, http::passing_value(&sent));
+    headers.insert(wire::OFFER_HEADER, http::unindexed_value(&sent));
 }
 
 /// Tells a refusal of the owner node from an answer of its target, and takes what the owner node says
--- a/crates/daemon/src/callers/head.rs
+++ b/crates/daemon/src/callers/head.rs
@@ -14,8 +14,8 @@
     request: &Request<http::StreamBody>,
     told: &dialect::CallHead,
     caller: Option<&ids::EntryName>,
-) -> Result<calls::CallArrival, dialect::HeadFault> {
-    let named = dialect::single_text(request.headers(), header::HOST.as_str())?;
+) -> Result<calls::CallArrival, dialect::HeaderError> {
+    let named = dialect::single_value(request.headers(), header::HOST.as_str())?;
     let host = request.uri().host().or(named);
     Ok(calls::CallArrival {
         call,
--- a/crates/daemon/src/callers/kept.rs
+++ b/crates/daemon/src/callers/kept.rs
@@ -27,7 +27,7 @@
     answer: Response<http::StreamBody>,
 ) -> Response<http::StreamBody> {
     let (parts, body) = answer.into_parts();
-    let bound = context.answer_bytes as usize;
+    let bound = context.max_kept_answer_bytes as usize;
     let (kept, body) = match read(body, bound).await {
         ReadAnswer::Whole(bytes, None) => {
             let lines = parts.headers.iter();
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/critical_tasks.rs
@@ -11,7 +11,7 @@
 
 /// A part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ProcessPart {
+pub enum CriticalTask {
     /// The actor around the reducer.
     Reducer,
     /// The thread that writes the log of the control group.
@@ -20,7 +20,7 @@
     ClaimsWriter,
 }
 
-impl fmt::Display for ProcessPart {
+impl fmt::Display for CriticalTask {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Reducer => "the reducer",
@@ -32,45 +32,45 @@
 
 /// Hands out a guard to each part.
 #[derive(Debug, Clone)]
-pub struct PartRegistry {
-    ended: mpsc::UnboundedSender<ProcessPart>,
+pub struct TaskRegistry {
+    ended: mpsc::UnboundedSender<CriticalTask>,
 }
 
-impl PartRegistry {
+impl TaskRegistry {
     /// A registry and where the end of a part is told.
-    pub fn new() -> (Self, PartWatch) {
+    pub fn new() -> (Self, TaskMonitor) {
         let (ended, receiver) = mpsc::unbounded_channel();
-        (Self { ended }, PartWatch { ended: receiver })
+        (Self { ended }, TaskMonitor { ended: receiver })
     }
 
     /// What a part holds for as long as it lives.
-    pub fn guard(&self, part: ProcessPart) -> PartGuard {
-        PartGuard {
+    pub fn guard(&self, part: CriticalTask) -> TaskGuard {
+        TaskGuard {
             part,
             ended: self.ended.clone(),
-            is_released: false,
+            is_disarmed: false,
         }
     }
 }
 
 /// Tells the end of its part when it is dropped, by a panic too, unless it was let go.
 #[derive(Debug)]
-pub struct PartGuard {
-    part: ProcessPart,
-    ended: mpsc::UnboundedSender<ProcessPart>,
-    is_released: bool,
+pub struct TaskGuard {
+    part: CriticalTask,
+    ended: mpsc::UnboundedSender<CriticalTask>,
+    is_disarmed: bool,
 }
 
-impl PartGuard {
+impl TaskGuard {
     /// Lets a part end without a word: one that ends with another one, which tells the cause.
-    pub fn release(mut self) {
-        self.is_released = true;
+    pub fn disarm(mut self) {
+        self.is_disarmed = true;
     }
 }
 
-impl Drop for PartGuard {
+impl Drop for TaskGuard {
     fn drop(&mut self) {
-        if !self.is_released {
+        if !self.is_disarmed {
             // Nobody listens once the process stops.
             let _ = self.ended.send(self.part);
         }
@@ -79,13 +79,13 @@
 
 /// Where the end of a part is told.
 #[derive(Debug)]
-pub struct PartWatch {
-    ended: mpsc::UnboundedReceiver<ProcessPart>,
+pub struct TaskMonitor {
+    ended: mpsc::UnboundedReceiver<CriticalTask>,
 }
 
-impl PartWatch {
+impl TaskMonitor {
     /// Waits until a part has ended; returns which.
-    pub async fn ended(&mut self) -> ProcessPart {
+    pub async fn ended(&mut self) -> CriticalTask {
         match self.ended.recv().await {
             Some(part) => part,
             None => std::future::pending().await,
--- a/crates/daemon/src/dialect.rs
+++ b/crates/daemon/src/dialect.rs
@@ -5,7 +5,7 @@
 //! decided. [`own`] is the project's own interface; a program that links another implementation
 //! hands it over at the start of the process.
 
-pub mod own;
+pub mod native;
 
 use std::{sync::Arc, time::Duration};
 
@@ -34,11 +34,11 @@
 /// A header that decides something stands twice or cannot be read.
 #[derive(Debug, Snafu)]
 #[snafu(display("a header is ambiguous"))]
-pub struct HeadFault;
+pub struct HeaderError;
 
 /// What a target is told of a call beside the caller's own head.
 #[derive(Debug, Clone)]
-pub struct TargetOrder {
+pub struct AttemptMetadata {
     /// The target that is meant.
     pub target: ids::TargetName,
     /// Id of the request.
@@ -53,30 +53,34 @@
 
 /// What a target's head of an answer proves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerVerdict {
+pub enum ResponseVerdict {
     /// It answers this request.
-    Sound,
+    Valid,
     /// The target did not run it.
     Declined,
     /// Another target stands at the address; it did not run it.
-    Misplaced,
+    WrongTarget,
     /// It is no answer to this request, or no success that can be passed on as one.
-    Unsound,
+    Invalid,
 }
 
 /// How callers and targets speak of a call.
 pub trait CallDialect: std::fmt::Debug + Send + Sync {
     /// Reads a caller's head.
-    fn read_head(&self, headers: &HeaderMap) -> Result<CallHead, HeadFault>;
+    fn read_head(&self, headers: &HeaderMap) -> Result<CallHead, HeaderError>;
 
     /// Puts what a target is told into the headers that go to it.
-    fn tell_target(&self, headers: &mut HeaderMap, order: &TargetOrder);
+    fn set_target_headers(&self, headers: &mut HeaderMap, order: &AttemptMetadata);
 
     /// Judges the head of a target's answer.
-    fn judge_answer(&self, head: &http::response::Parts, order: &TargetOrder) -> AnswerVerdict;
+    fn check_response(
+        &self,
+        head: &http::response::Parts,
+        order: &AttemptMetadata,
+    ) -> ResponseVerdict;
 
     /// Puts what a caller is told into the headers of a target's answer that is passed on.
-    fn tell_caller(&self, headers: &mut HeaderMap, request: &ids::RequestId);
+    fn set_caller_headers(&self, headers: &mut HeaderMap, request: &ids::RequestId);
 
     /// The answer that tells a caller of a refusal.
     fn refuse(
@@ -88,7 +92,7 @@
 
 /// What a target wants of its node.
 #[derive(Debug, Clone, PartialEq)]
-pub enum TargetWish {
+pub enum TargetRequest {
     /// To be announced; a lease of zero stands for the one of the settings.
     Announce(membership::TargetAnnouncement),
     /// To be withdrawn.
@@ -97,30 +101,31 @@
 
 /// Why a message of a target or an operator is not taken.
 #[derive(Debug, Clone, PartialEq)]
-pub struct WishFault {
+pub struct RequestError {
     /// Its code.
     pub code: code::ResultCode,
     /// What is wrong with the message.
     pub message: String,
     /// Whether the path or method is at fault rather than the body.
-    pub is_unknown: bool,
+    pub is_unknown_endpoint: bool,
 }
 
 /// How targets announce themselves.
 pub trait TargetDialect: std::fmt::Debug + Send + Sync {
     /// Reads a message.
-    fn read(&self, method: &Method, path: &str, body: &[u8]) -> Result<TargetWish, WishFault>;
+    fn read(&self, method: &Method, path: &str, body: &[u8])
+    -> Result<TargetRequest, RequestError>;
 
     /// The answer to a message that was taken.
     fn accept(&self) -> Response<bodies::StreamBody>;
 
     /// The answer to one that was not.
-    fn refuse(&self, fault: &WishFault) -> Response<bodies::StreamBody>;
+    fn refuse(&self, fault: &RequestError) -> Response<bodies::StreamBody>;
 }
 
 /// What an operator wants of the control group.
 #[derive(Debug, Clone, PartialEq)]
-pub enum OperatorWish {
+pub enum OperatorRequest {
     /// The revision in place.
     Read,
     /// To replace the whole catalogue.
@@ -133,7 +138,7 @@
 
 /// What an operator is answered.
 #[derive(Debug, Clone, PartialEq)]
-pub enum OperatorAnswer {
+pub enum OperatorResponse {
     /// The replacement is accepted under this label.
     Accepted(ids::RevisionLabel),
     /// The revision in place.
@@ -154,7 +159,7 @@
         faults: Vec<change::CatalogueFault>,
     },
     /// The control at this address takes it.
-    Elsewhere(std::net::SocketAddr),
+    Redirect(std::net::SocketAddr),
     /// Whether it is accepted cannot be told.
     Unknown,
 }
@@ -165,13 +170,18 @@
     fn serves(&self, path: &str) -> bool;
 
     /// Reads a message.
-    fn read(&self, method: &Method, path: &str, body: &Bytes) -> Result<OperatorWish, WishFault>;
+    fn read(
+        &self,
+        method: &Method,
+        path: &str,
+        body: &Bytes,
+    ) -> Result<OperatorRequest, RequestError>;
 
     /// The answer to one.
-    fn answer(&self, path: &str, answer: &OperatorAnswer) -> Response<bodies::StreamBody>;
+    fn answer(&self, path: &str, answer: &OperatorResponse) -> Response<bodies::StreamBody>;
 
     /// The answer to one that cannot be read.
-    fn refuse(&self, fault: &WishFault) -> Response<bodies::StreamBody>;
+    fn refuse(&self, fault: &RequestError) -> Response<bodies::StreamBody>;
 }
 
 /// The dialects of a process.
@@ -188,20 +198,23 @@
 impl Default for DialectSet {
     fn default() -> Self {
         Self {
-            calls: Arc::new(own::OwnCalls),
-            targets: Arc::new(own::OwnTargets),
+            calls: Arc::new(native::NativeCalls),
+            targets: Arc::new(native::NativeTargets),
             operators: None,
         }
     }
 }
 
 /// A header's text if it is there once.
-pub fn single_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, HeadFault> {
+pub fn single_value<'a>(
+    headers: &'a HeaderMap,
+    name: &str,
+) -> Result<Option<&'a str>, HeaderError> {
     let mut values = headers.get_all(name).iter();
     let first = values.next();
     if values.next().is_some() {
-        return Err(HeadFault);
+        return Err(HeaderError);
     }
     let text = first.map(hyper::header::HeaderValue::to_str).transpose();
-    text.map_err(|_no_text| HeadFault)
+    text.map_err(|_no_text| HeaderError)
 }
--- a/crates/daemon/src/dialect/own.rs
+++ b/crates/daemon/src/dialect/native.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    AnswerVerdict, CallDialect, CallHead, HeadFault, TargetDialect, TargetOrder, TargetWish,
-    WishFault, single_text,
+    AttemptMetadata, CallDialect, CallHead, HeaderError, RequestError, ResponseVerdict,
+    TargetDialect, TargetRequest, single_value,
 };
 use crate::{http as bodies, trace};
 
@@ -18,35 +18,39 @@
 
 /// Calls in the project's own headers.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnCalls;
+pub struct NativeCalls;
 
-impl CallDialect for OwnCalls {
-    fn read_head(&self, headers: &HeaderMap) -> Result<CallHead, HeadFault> {
-        let deadline = single_text(headers, wire::DEADLINE_HEADER)?;
+impl CallDialect for NativeCalls {
+    fn read_head(&self, headers: &HeaderMap) -> Result<CallHead, HeaderError> {
+        let deadline = single_value(headers, wire::DEADLINE_HEADER)?;
         let deadline: Option<u64> = deadline
             .map(str::parse)
             .transpose()
-            .map_err(|_no_number| HeadFault)?;
-        let attempt = single_text(headers, wire::ATTEMPT_HEADER)?;
+            .map_err(|_no_number| HeaderError)?;
+        let attempt = single_value(headers, wire::ATTEMPT_HEADER)?;
         Ok(CallHead {
             request: trace::read(headers),
             deadline_left: deadline.map(Duration::from_millis),
-            key: single_text(headers, wire::KEY_HEADER)?.map(Into::into),
+            key: single_value(headers, wire::KEY_HEADER)?.map(Into::into),
             attempt: attempt.and_then(|value| value.parse().ok()),
         })
     }
 
-    fn tell_target(&self, headers: &mut HeaderMap, order: &TargetOrder) {
+    fn set_target_headers(&self, headers: &mut HeaderMap, order: &AttemptMetadata) {
         let left = order.deadline_left.as_millis() as u64;
         headers.insert(wire::DEADLINE_HEADER, left.into());
         headers.insert(wire::ATTEMPT_HEADER, order.attempt.into());
     }
 
-    fn judge_answer(&self, _head: &http::response::Parts, _order: &TargetOrder) -> AnswerVerdict {
-        AnswerVerdict::Sound
+    fn check_response(
+        &self,
+        _head: &http::response::Parts,
+        _order: &AttemptMetadata,
+    ) -> ResponseVerdict {
+        ResponseVerdict::Valid
     }
 
-    fn tell_caller(&self, headers: &mut HeaderMap, request: &ids::RequestId) {
+    fn set_caller_headers(&self, headers: &mut HeaderMap, request: &ids::RequestId) {
         trace::label(headers, request);
     }
 
@@ -89,10 +93,15 @@
 
 /// Announcements in the project's own documents.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnTargets;
+pub struct NativeTargets;
 
-impl TargetDialect for OwnTargets {
-    fn read(&self, method: &Method, path: &str, body: &[u8]) -> Result<TargetWish, WishFault> {
+impl TargetDialect for NativeTargets {
+    fn read(
+        &self,
+        method: &Method,
+        path: &str,
+        body: &[u8],
+    ) -> Result<TargetRequest, RequestError> {
         let name = path
             .strip_prefix(ANNOUNCE_PATH)
             .and_then(|rest| rest.strip_prefix('/'));
@@ -101,10 +110,10 @@
             (&Method::DELETE, Some(name)) => {
                 let name = name.parse();
                 let name = name.map_err(|error: ids::NameError| malformed(error.to_string()))?;
-                Ok(TargetWish::Withdraw(name))
+                Ok(TargetRequest::Withdraw(name))
             }
-            _ => Err(WishFault {
-                is_unknown: true,
+            _ => Err(RequestError {
+                is_unknown_endpoint: true,
                 ..malformed(format!(
                     "POST {ANNOUNCE_PATH} and DELETE {ANNOUNCE_PATH}/NAME are served"
                 ))
@@ -116,8 +125,8 @@
         bodies::json_response(StatusCode::OK, &serde_json::json!({}))
     }
 
-    fn refuse(&self, fault: &WishFault) -> Response<bodies::StreamBody> {
-        let status = if fault.is_unknown {
+    fn refuse(&self, fault: &RequestError) -> Response<bodies::StreamBody> {
+        let status = if fault.is_unknown_endpoint {
             StatusCode::NOT_FOUND
         } else {
             StatusCode::UNPROCESSABLE_ENTITY
@@ -130,7 +139,7 @@
     }
 }
 
-fn read_announcement(body: &[u8]) -> Result<TargetWish, WishFault> {
+fn read_announcement(body: &[u8]) -> Result<TargetRequest, RequestError> {
     let document: AnnounceDocument =
         serde_json::from_slice(body).map_err(|error| malformed(error.to_string()))?;
     if document.slots == 0 || document.connections == 0 || document.lease_ms == 0 {
@@ -148,7 +157,7 @@
         version: document.version,
     };
     let lease = Duration::from_millis(u64::from(document.lease_ms));
-    Ok(TargetWish::Announce(membership::TargetAnnouncement {
+    Ok(TargetRequest::Announce(membership::TargetAnnouncement {
         record,
         lease,
         sequence: None,
@@ -156,10 +165,10 @@
     }))
 }
 
-fn malformed(message: String) -> WishFault {
-    WishFault {
+fn malformed(message: String) -> RequestError {
+    RequestError {
         code: code::ResultCode::RequestMalformed,
         message,
-        is_unknown: false,
+        is_unknown_endpoint: false,
     }
 }
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns once a phase is reached; never when the process does not stop.
-    pub async fn reached(&self, phase: DrainPhase) {
+    pub async fn wait_for_phase(&self, phase: DrainPhase) {
         let mut receiver = self.phase.subscribe();
         let waited = receiver.wait_for(|now| *now >= phase).await;
         drop(waited);
@@ -60,7 +60,7 @@
 
 /// Stops a process gracefully: returns once nothing is in flight or the longest time is over.
 pub async fn stop(context: &process::ProcessContext) {
-    let tunables = &context.requests;
+    let tunables = &context.request_tunables;
     context.drain.phase.send_replace(DrainPhase::Leaving);
     let is_node = context.credentials.identity.is_node;
     let before = tunables.leave_ms.saturating_sub(tunables.tell_ms);
--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -20,7 +20,7 @@
 };
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::{links, observer, parts, store_task, timeline};
+use crate::{critical_tasks, links, observer, store_task, timeline};
 
 /// Orders for the task that carries a call.
 pub type CallOrders = mpsc::UnboundedReceiver<calls::CallEffect>;
@@ -291,7 +291,7 @@
     }
 
     /// Holds a guard until the actor has ended, which it does by itself only when it panics.
-    pub async fn guarded(self, guard: parts::PartGuard) {
+    pub async fn guarded(self, guard: critical_tasks::TaskGuard) {
         self.actor.wait_for_shutdown().await;
         drop(guard);
     }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -169,7 +169,7 @@
 
 /// A record that is never the same twice as a header's value: the header compression of a connection
 /// does not keep it, for it would only push out what repeats.
-pub fn passing_value<T: Serialize>(record: &T) -> header::HeaderValue {
+pub fn unindexed_value<T: Serialize>(record: &T) -> header::HeaderValue {
     let mut value = record_value(record);
     value.set_sensitive(true);
     value
--- a/crates/daemon/src/http1.rs
+++ b/crates/daemon/src/http1.rs
@@ -47,15 +47,15 @@
 
 /// Bounds on what a connection may send, and for how long.
 #[derive(Debug, Clone, Copy)]
-pub struct ConnectionBounds {
+pub struct ConnectionLimits {
     /// Largest head, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Most header lines.
-    pub head_lines: usize,
+    pub max_headers: usize,
     /// Longest time from the first byte of a head to its last.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time without a request.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A request as it is handed on.
@@ -64,7 +64,7 @@
 pub type CallResponse = Response<http::StreamBody>;
 
 /// What serves the requests of a connection.
-pub trait CallService: Send + Sync + 'static {
+pub trait CallHandler: Send + Sync + 'static {
     /// Serves one request; dropped when the caller goes.
     fn serve(&self, request: CallRequest) -> impl Future<Output = CallResponse> + Send;
 }
@@ -96,20 +96,20 @@
 pub async fn serve<R, W, S>(
     reader: R,
     writer: W,
-    bounds: ConnectionBounds,
+    limits: ConnectionLimits,
     service: Arc<S>,
     drain: drain::DrainState,
 ) where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
-    S: CallService,
+    S: CallHandler,
 {
     let (answers, queue) = mpsc::channel(PIPELINE_LENGTH);
     let progress = ConnectionProgress::default();
     let mut reading = ConnectionReader {
         reader,
         buffer: BytesMut::with_capacity(READ_SIZE),
-        bounds,
+        limits,
         service,
         drain: drain.clone(),
         answers,
@@ -172,14 +172,14 @@
 struct ConnectionReader<'a, R, S> {
     reader: R,
     buffer: BytesMut,
-    bounds: ConnectionBounds,
+    limits: ConnectionLimits,
     service: Arc<S>,
     drain: drain::DrainState,
     answers: mpsc::Sender<QueuedAnswer>,
     progress: &'a ConnectionProgress,
 }
 
-impl<R: AsyncRead + Unpin, S: CallService> ConnectionReader<'_, R, S> {
+impl<R: AsyncRead + Unpin, S: CallHandler> ConnectionReader<'_, R, S> {
     async fn run(&mut self) -> ReadEnd {
         loop {
             let head = match self.next_head().await {
@@ -201,7 +201,7 @@
         let mut began = None;
         loop {
             if !self.buffer.is_empty() {
-                match head::parse(&mut self.buffer, &self.bounds) {
+                match head::parse(&mut self.buffer, &self.limits) {
                     Ok(Some(head)) => return Ok(head),
                     Ok(None) => {}
                     Err(fault) => return Err(self.refuse(fault).await),
@@ -209,9 +209,9 @@
             }
             let has_begun = !self.buffer.is_empty();
             let until = if has_begun {
-                *began.get_or_insert_with(time::Instant::now) + self.bounds.head_time
+                *began.get_or_insert_with(time::Instant::now) + self.limits.head_timeout
             } else {
-                time::Instant::now() + self.bounds.idle_time
+                time::Instant::now() + self.limits.idle_timeout
             };
             let is_quiet = self.progress.owed.load(Ordering::Relaxed) == 0;
             self.buffer.reserve(READ_SIZE);
@@ -227,7 +227,7 @@
                     }
                     return Err(ReadEnd::Finished);
                 }
-                () = closing.reached(drain::DrainPhase::Closing), if !has_begun => {
+                () = closing.wait_for_phase(drain::DrainPhase::Closing), if !has_begun => {
                     return Err(ReadEnd::Finished);
                 }
             }
--- a/crates/daemon/src/http1/head.rs
+++ b/crates/daemon/src/http1/head.rs
@@ -6,7 +6,7 @@
     http::{HeaderName, HeaderValue, request},
 };
 
-use super::{ConnectionBounds, answer, body};
+use super::{ConnectionLimits, answer, body};
 
 /// A head that was read.
 #[derive(Debug)]
@@ -24,13 +24,13 @@
 /// says so.
 pub(super) fn parse(
     buffer: &mut BytesMut,
-    bounds: &ConnectionBounds,
+    limits: &ConnectionLimits,
 ) -> Result<Option<RequestHead>, StatusCode> {
-    let mut lines = vec![httparse::EMPTY_HEADER; bounds.head_lines];
+    let mut lines = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut parsed = httparse::Request::new(&mut lines);
     let length = match parsed.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() > bounds.head_bytes => {
+        Ok(httparse::Status::Partial) if buffer.len() > limits.max_head_bytes => {
             return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
         }
         Ok(httparse::Status::Partial) => return Ok(None),
@@ -39,7 +39,7 @@
         }
         Err(_malformed) => return Err(StatusCode::BAD_REQUEST),
     };
-    if length > bounds.head_bytes {
+    if length > limits.max_head_bytes {
         return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     }
     let parts = read_parts(&parsed).ok_or(StatusCode::BAD_REQUEST)?;
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -116,7 +116,7 @@
 ) -> Result<replication::ChangeAuthor, code::ResultCode> {
     let bearer = headers.get(header::AUTHORIZATION);
     let bearer = bearer.and_then(|value| value.to_str().ok()?.strip_prefix(BEARER_PREFIX));
-    match (bearer, context.administrator) {
+    match (bearer, context.administrator_hash) {
         (Some(token), administrator) => {
             let hash = change::token_hash(token.trim());
             if administrator == Some(hash) {
@@ -163,7 +163,7 @@
     here: impl Future<Output = replication::ProposalAnswer>,
     question: questions::LeaderQuestion,
 ) -> replication::ProposalAnswer {
-    let patience = settings::millis(context.answer_ms);
+    let patience = settings::millis(context.operator_timeout_ms);
     let unknown = replication::ProposalAnswer::Unknown;
     let answer = time::timeout(patience, here).await;
     match answer.unwrap_or(unknown) {
--- a/crates/daemon/src/operators/revision.rs
+++ b/crates/daemon/src/operators/revision.rs
@@ -28,21 +28,21 @@
     let body = match Limited::new(body, LARGEST_DOCUMENT).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
-            return dialect.refuse(&dialect::WishFault {
+            return dialect.refuse(&dialect::RequestError {
                 code: code::ResultCode::DocumentInvalid,
                 message: error.to_string(),
-                is_unknown: false,
+                is_unknown_endpoint: false,
             });
         }
     };
     if let Some(leader) = leader_elsewhere(context).await {
-        return dialect.answer(&path, &dialect::OperatorAnswer::Elsewhere(leader));
+        return dialect.answer(&path, &dialect::OperatorResponse::Redirect(leader));
     }
     let answer = match dialect.read(&parts.method, &path, &body) {
-        Ok(dialect::OperatorWish::Read) => read(context).await,
-        Ok(dialect::OperatorWish::Replace(request)) => replace(context, *request).await,
-        Ok(dialect::OperatorWish::StartRollout(order)) => start_rollout(context, order).await,
-        Ok(dialect::OperatorWish::ReadRollout(service)) => read_rollout(context, service).await,
+        Ok(dialect::OperatorRequest::Read) => read(context).await,
+        Ok(dialect::OperatorRequest::Replace(request)) => replace(context, *request).await,
+        Ok(dialect::OperatorRequest::StartRollout(order)) => start_rollout(context, order).await,
+        Ok(dialect::OperatorRequest::ReadRollout(service)) => read_rollout(context, service).await,
         Err(fault) => {
             log::info!("{}: document refused: {}", fault.code, fault.message);
             return dialect.refuse(&fault);
@@ -73,7 +73,7 @@
 async fn read_rollout(
     context: &process::ProcessContext,
     service: ids::EntryName,
-) -> dialect::OperatorAnswer {
+) -> dialect::OperatorResponse {
     let is_proven = match proven_revision(context).await {
         replication::ProposalAnswer::Current { .. } => Ok(()),
         replication::ProposalAnswer::Refused { code, .. } => Err(code),
@@ -81,7 +81,7 @@
     };
     if let Err(code) = is_proven {
         let faults = Vec::new();
-        return dialect::OperatorAnswer::Refused { code, faults };
+        return dialect::OperatorResponse::Refused { code, faults };
     }
     // What is committed here by now is at least what was when the proof came.
     let look = move |state: &hazeltiller_engine::reducer::EngineState| {
@@ -89,39 +89,39 @@
         committed.rollout(&service).cloned()
     };
     match context.engine.inspect(look).await.flatten() {
-        Some(entry) => dialect::OperatorAnswer::Rollout(Box::new(entry)),
-        None => dialect::OperatorAnswer::NoRollout,
+        Some(entry) => dialect::OperatorResponse::Rollout(Box::new(entry)),
+        None => dialect::OperatorResponse::NoRollout,
     }
 }
 
 async fn start_rollout(
     context: &process::ProcessContext,
     order: rollout::RolloutOrder,
-) -> dialect::OperatorAnswer {
+) -> dialect::OperatorResponse {
     let request = change::ChangeRequest::rollout_order(order);
     match propose(context, request).await {
-        replication::ProposalAnswer::Accepted(_) => dialect::OperatorAnswer::RolloutOrdered,
+        replication::ProposalAnswer::Accepted(_) => dialect::OperatorResponse::RolloutOrdered,
         replication::ProposalAnswer::Refused { code, faults, .. } => {
-            dialect::OperatorAnswer::Refused { code, faults }
+            dialect::OperatorResponse::Refused { code, faults }
         }
-        _ => dialect::OperatorAnswer::Unknown,
+        _ => dialect::OperatorResponse::Unknown,
     }
 }
 
-async fn read(context: &process::ProcessContext) -> dialect::OperatorAnswer {
+async fn read(context: &process::ProcessContext) -> dialect::OperatorResponse {
     match proven_revision(context).await {
         replication::ProposalAnswer::Current { revision, .. }
             if revision.label == ids::RevisionLabel::default() =>
         {
-            dialect::OperatorAnswer::NoRevision
+            dialect::OperatorResponse::NoRevision
         }
         replication::ProposalAnswer::Current { revision, .. } => {
-            dialect::OperatorAnswer::Revision(revision)
+            dialect::OperatorResponse::Revision(revision)
         }
         replication::ProposalAnswer::Refused { code, faults, .. } => {
-            dialect::OperatorAnswer::Refused { code, faults }
+            dialect::OperatorResponse::Refused { code, faults }
         }
-        _ => dialect::OperatorAnswer::Refused {
+        _ => dialect::OperatorResponse::Refused {
             code: code::ResultCode::LeaderUnknown,
             faults: Vec::new(),
         },
@@ -131,16 +131,16 @@
 async fn replace(
     context: &process::ProcessContext,
     request: change::ChangeRequest,
-) -> dialect::OperatorAnswer {
+) -> dialect::OperatorResponse {
     let label = request.replace.as_ref().map(|mark| mark.label);
     match propose(context, request).await {
         replication::ProposalAnswer::Accepted(_) => {
-            dialect::OperatorAnswer::Accepted(label.unwrap_or_default())
+            dialect::OperatorResponse::Accepted(label.unwrap_or_default())
         }
         replication::ProposalAnswer::Refused { code, faults, .. } => {
-            dialect::OperatorAnswer::Refused { code, faults }
+            dialect::OperatorResponse::Refused { code, faults }
         }
-        _ => dialect::OperatorAnswer::Unknown,
+        _ => dialect::OperatorResponse::Unknown,
     }
 }
 
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -26,7 +26,7 @@
     time::{self, Instant},
 };
 
-use crate::{dialect, hold, http, pool, process, trace};
+use crate::{dialect, http, pool, process, response_buffer, trace};
 
 /// Longest time that the rest of an answer that is not passed on may take; its connection is
 /// closed after that.
@@ -75,7 +75,7 @@
 ) -> Response<http::StreamBody> {
     let call = context.next_call();
     let id = request_id(&context, request.headers());
-    let order = dialect::TargetOrder {
+    let order = dialect::AttemptMetadata {
         target: offer.target.clone(),
         request: id.clone(),
         deadline_left: Duration::ZERO,
@@ -138,7 +138,7 @@
     guard: RunGuard,
     plan: calls::RunPlan,
     due: Instant,
-    order: dialect::TargetOrder,
+    order: dialect::AttemptMetadata,
     fingerprint: Option<ledger::RequestDigest>,
 }
 
@@ -148,7 +148,7 @@
         let mut request = for_target(request, self.plan.address);
         self.order.deadline_left = self.due.saturating_duration_since(Instant::now());
         let calls = Arc::clone(&context.dialects.calls);
-        calls.tell_target(request.headers_mut(), &self.order);
+        calls.set_target_headers(request.headers_mut(), &self.order);
         let (body, sent) = UploadBody::watch(request);
         let sending = context.targets.send(self.plan.address, body);
         let first_byte = self.plan.first_byte;
@@ -171,7 +171,7 @@
                 let missing = not_run(code::ResultCode::TargetMissing);
                 self.end(calls::RunResult::NotConnected, missing)
             }
-            Some(Err(pool::SendError::Broken { source })) => {
+            Some(Err(pool::SendError::ConnectionLost { source })) => {
                 log::debug!("target {}: {source}", self.plan.target);
                 blame_crash(&self.guard, &self.plan, self.fingerprint).await;
                 let failed = wire::CallRefusal::unknown(code::ResultCode::TargetFailed);
@@ -192,31 +192,31 @@
     ) -> Response<http::StreamBody> {
         let (parts, body) = response.into_parts();
         let context = Arc::clone(&self.guard.context);
-        match context.dialects.calls.judge_answer(&parts, &self.order) {
-            dialect::AnswerVerdict::Sound => {}
-            dialect::AnswerVerdict::Declined => {
+        match context.dialects.calls.check_response(&parts, &self.order) {
+            dialect::ResponseVerdict::Valid => {}
+            dialect::ResponseVerdict::Declined => {
                 keep_after(context, self.plan.address, body, sender);
                 let declined = not_run(code::ResultCode::TargetDeclined);
                 return self.end(calls::RunResult::Declined, declined);
             }
-            dialect::AnswerVerdict::Misplaced => {
+            dialect::ResponseVerdict::WrongTarget => {
                 let misplaced = not_run(code::ResultCode::TargetMisplaced);
                 return self.end(calls::RunResult::Misplaced, misplaced);
             }
-            dialect::AnswerVerdict::Unsound => {
+            dialect::ResponseVerdict::Invalid => {
                 let unsound = wire::CallRefusal::unknown(code::ResultCode::AnswerUnsound);
                 return self.end(calls::RunResult::Unsound, unsound);
             }
         }
-        let bound = context.requests.answer_hold_bytes;
-        let body = match hold::hold(body, &parts, bound, self.due).await {
+        let bound = context.request_tunables.answer_hold_bytes;
+        let body = match response_buffer::buffer(body, &parts, bound, self.due).await {
             Ok(body) => body,
-            Err(hold::HoldError::Broken { message }) => {
+            Err(response_buffer::BufferError::Interrupted { message }) => {
                 log::debug!("target {}: answer broke off: {message}", self.plan.target);
                 let cut = wire::CallRefusal::unknown(code::ResultCode::TargetFailed);
                 return self.end(calls::RunResult::Cut, cut);
             }
-            Err(hold::HoldError::Late) => {
+            Err(response_buffer::BufferError::DeadlineExceeded) => {
                 let late = wire::CallRefusal::unknown(code::ResultCode::DeadlineExceeded);
                 return self.end(calls::RunResult::TimedOut, late);
             }
@@ -314,7 +314,7 @@
     }
     http::strip_hop_headers(&mut parts.headers);
     http::strip_internal_headers(&mut parts.headers);
-    let load = http::passing_value(&plan.load);
+    let load = http::unindexed_value(&plan.load);
     parts.headers.insert(wire::LOAD_HEADER, load);
     let body = AnswerBody {
         body,
@@ -443,7 +443,7 @@
 fn refused(refusal: &wire::CallRefusal) -> Response<http::StreamBody> {
     let mut response = Response::new(http::full_body(""));
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    let text = http::passing_value(refusal);
+    let text = http::unindexed_value(refusal);
     response.headers_mut().insert(wire::REFUSAL_HEADER, text);
     response
 }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -119,14 +119,14 @@
     let mut server = http2::Builder::new(rt::TokioExecutor::new());
     server
         .timer(rt::TokioTimer::new())
-        .max_header_list_size(context.requests.head_bytes as u32 + LARGEST_OFFER)
+        .max_header_list_size(context.request_tunables.head_bytes as u32 + LARGEST_OFFER)
         .max_concurrent_streams(4096);
     let flight = context.drain.in_flight();
     let connection = server.serve_connection(rt::TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let served = tokio::select! {
         served = connection.as_mut() => served,
-        () = context.drain.reached(drain::DrainPhase::Closing) => {
+        () = context.drain.wait_for_phase(drain::DrainPhase::Closing) => {
             connection.as_mut().graceful_shutdown();
             // A peer behind a cut never says that it has heard of that; the stop must not wait for it.
             let said = async {
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -19,7 +19,7 @@
     },
     /// The connection broke after something may have been sent.
     #[snafu(display("broken off: {source}"))]
-    Broken {
+    ConnectionLost {
         /// Why.
         source: hyper::Error,
     },
--- a/crates/daemon/src/pool/nodes.rs
+++ b/crates/daemon/src/pool/nodes.rs
@@ -52,7 +52,7 @@
         }
         cause = inner.source();
     }
-    SendError::Broken { source: error }
+    SendError::ConnectionLost { source: error }
 }
 
 /// What became of a request on one connection.
@@ -87,11 +87,14 @@
 impl NodePool {
     /// A pool without connections.
     pub fn new(credentials: handshake::LinkCredentials) -> Self {
-        Self::with_sign(credentials, CALLS_SIGN)
+        Self::with_keepalive_timeout(credentials, CALLS_SIGN)
     }
 
     /// The same where a silent node is given another time for its sign of life.
-    pub fn with_sign(credentials: handshake::LinkCredentials, sign_time: Duration) -> Self {
+    pub fn with_keepalive_timeout(
+        credentials: handshake::LinkCredentials,
+        sign_time: Duration,
+    ) -> Self {
         Self {
             credentials,
             sign_time,
--- a/crates/daemon/src/pool/targets.rs
+++ b/crates/daemon/src/pool/targets.rs
@@ -37,7 +37,7 @@
                     // The kept connection was closed meanwhile, and nothing went out on it.
                     Some(unsent) => request = unsent,
                     None => {
-                        return Err(SendError::Broken {
+                        return Err(SendError::ConnectionLost {
                             source: error.into_error(),
                         });
                     }
@@ -47,7 +47,7 @@
         let mut sender = connect_target(to).await?;
         match sender.try_send_request(request).await {
             Ok(response) => Ok((response, sender)),
-            Err(error) => Err(SendError::Broken {
+            Err(error) => Err(SendError::ConnectionLost {
                 source: error.into_error(),
             }),
         }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -26,9 +26,9 @@
 };
 
 use crate::{
-    byte_counts, callers, claims_task, dialect, drain, engine_actor, handshake, links, metrics,
-    observer, operators, parts, peers, pool, probe, readiness, settings, store_task, targets,
-    timeline, trace,
+    byte_counts, callers, claims_task, critical_tasks, dialect, drain, engine_actor, handshake,
+    links, metrics, observer, operators, peers, pool, probe, readiness, settings, store_task,
+    targets, timeline, trace,
 };
 
 /// Time between two ticks of the reducer.
@@ -89,17 +89,17 @@
     /// Service whose target sits beside this node.
     pub caller: Option<ids::EntryName>,
     /// Lease of a target that names none, in milliseconds.
-    pub lease_ms: u64,
+    pub default_lease_ms: u64,
     /// Bounds of requests on their way.
-    pub requests: engine_settings::RequestTunables,
+    pub request_tunables: engine_settings::RequestTunables,
     /// Largest answer of a claimed request that is kept, in bytes.
-    pub answer_bytes: u64,
+    pub max_kept_answer_bytes: u64,
     /// How far a stop has come.
     pub drain: drain::DrainState,
     /// Hash of the first administrator's token, where the settings give one.
-    pub administrator: Option<ids::StateDigest>,
+    pub administrator_hash: Option<ids::StateDigest>,
     /// Longest time for which an operator waits, in milliseconds.
-    pub answer_ms: u64,
+    pub operator_timeout_ms: u64,
     /// Figures of what happened here.
     pub metrics: Arc<metrics::ProcessMetrics>,
     /// What happened here.
@@ -152,7 +152,7 @@
     /// What its tasks share.
     pub context: Arc<ProcessContext>,
     /// Tells of a part that has ended, after which the process is of no use.
-    pub parts: parts::PartWatch,
+    pub critical_tasks: critical_tasks::TaskMonitor,
 }
 
 /// What a process is started with beside the settings.
@@ -204,7 +204,7 @@
     };
     let key = wire::GroupKey::new(read_key(settings)?);
     let credentials = handshake::LinkCredentials { identity, key };
-    let (registry, parts) = parts::PartRegistry::new();
+    let (registry, critical_tasks) = critical_tasks::TaskRegistry::new();
     let context = start_engine(settings, options, credentials, &registry)?;
     tokio::spawn(peers::serve(Arc::clone(&context), peers));
     tokio::spawn(operators::serve(Arc::clone(&context), operators));
@@ -221,7 +221,7 @@
     Ok(RunningProcess {
         addresses,
         context,
-        parts,
+        critical_tasks,
     })
 }
 
@@ -229,7 +229,7 @@
     settings: &settings::ProcessSettings,
     options: StartOptions,
     credentials: handshake::LinkCredentials,
-    registry: &parts::PartRegistry,
+    registry: &critical_tasks::TaskRegistry,
 ) -> Result<Arc<ProcessContext>, StartError> {
     let mut is_folder_new = false;
     let (store, recovered) = if credentials.identity.is_control {
@@ -298,7 +298,7 @@
         observer: observer::EngineObserver::new(timeline.clone(), Arc::clone(&metrics)),
     };
     let engine = engine_actor::EngineHandle::start(state, outlets);
-    let guard = registry.guard(parts::ProcessPart::Reducer);
+    let guard = registry.guard(critical_tasks::CriticalTask::Reducer);
     tokio::spawn(engine.clone().guarded(guard));
     tokio::spawn(links::report_losses(losses, engine.clone()));
     tokio::spawn(probe::run(probe_plans, engine.clone()));
@@ -306,29 +306,29 @@
         let engine = engine.clone();
         let report = move |event| engine.tell(event::Event::Replication(event));
         let store = metrics::MeasuredStore::new(Box::new(file), Arc::clone(&metrics));
-        let guard = registry.guard(parts::ProcessPart::LogWriter);
+        let guard = registry.guard(critical_tasks::CriticalTask::LogWriter);
         std::thread::spawn(move || {
             store_task::run(Box::new(store), &batches, report);
-            guard.release();
+            guard.disarm();
         });
     }
     if let Some(file) = claims_file {
         let engine = engine.clone();
         let report = move |event| engine.tell(event::Event::Ledger(event));
-        let guard = registry.guard(parts::ProcessPart::ClaimsWriter);
+        let guard = registry.guard(critical_tasks::CriticalTask::ClaimsWriter);
         std::thread::spawn(move || {
             claims_task::run(Box::new(file), &claim_batches, report);
-            guard.release();
+            guard.disarm();
         });
     }
-    let administrator = read_administrator(settings)?;
-    if administrator.is_none() && credentials.identity.is_control {
+    let administrator_hash = read_administrator_hash(settings)?;
+    if administrator_hash.is_none() && credentials.identity.is_control {
         log::warn!("operators_token_file is not set: changes are taken from loopback only");
     }
     Ok(Arc::new(ProcessContext {
         engine,
-        administrator,
-        answer_ms: settings.tunables.replication.answer_ms,
+        administrator_hash,
+        operator_timeout_ms: settings.tunables.replication.answer_ms,
         in_force,
         bytes,
         nodes: pool::NodePool::new(credentials.clone()),
@@ -336,9 +336,9 @@
         targets: pool::TargetPool::default(),
         dialects: options.dialects,
         caller: settings.caller_service.clone(),
-        lease_ms: settings.tunables.membership.lease_ms,
-        requests: settings.tunables.requests.clone(),
-        answer_bytes: settings.tunables.ledger.answer_bytes,
+        default_lease_ms: settings.tunables.membership.lease_ms,
+        request_tunables: settings.tunables.requests.clone(),
+        max_kept_answer_bytes: settings.tunables.ledger.answer_bytes,
         drain: drain::DrainState::default(),
         credentials,
         metrics,
@@ -371,7 +371,7 @@
     }
 }
 
-fn read_administrator(
+fn read_administrator_hash(
     settings: &settings::ProcessSettings,
 ) -> Result<Option<ids::StateDigest>, StartError> {
     let Some(path) = &settings.operators_token_file else {
--- a/crates/daemon/src/hold.rs
+++ b/crates/daemon/src/response_buffer.rs
@@ -18,25 +18,25 @@
 
 /// Why an answer cannot be passed on.
 #[derive(Debug, Snafu)]
-pub enum HoldError {
+pub enum BufferError {
     /// It broke off.
     #[snafu(display("broken off: {message}"))]
-    Broken {
+    Interrupted {
         /// Why.
         message: String,
     },
     /// The deadline passed before it was whole.
     #[snafu(display("late"))]
-    Late,
+    DeadlineExceeded,
 }
 
 /// Reads a body of at most `bound` bytes whole, until `due`; a larger one is passed through.
-pub async fn hold<B>(
+pub async fn buffer<B>(
     body: B,
     head: &hyper_http::response::Parts,
     bound: u64,
     due: time::Instant,
-) -> Result<http::StreamBody, HoldError>
+) -> Result<http::StreamBody, BufferError>
 where
     B: Body<Data = Bytes> + Send + Unpin + 'static,
     B::Error: Into<http::BodyError>,
@@ -47,7 +47,7 @@
     let reading = read(body, bound as usize);
     time::timeout_at(due, reading)
         .await
-        .unwrap_or(Err(HoldError::Late))
+        .unwrap_or(Err(BufferError::DeadlineExceeded))
 }
 
 /// Whether a body is small by its own word, or ends with its connection.
@@ -58,14 +58,14 @@
     }
 }
 
-async fn read<B>(mut body: B, bound: usize) -> Result<http::StreamBody, HoldError>
+async fn read<B>(mut body: B, bound: usize) -> Result<http::StreamBody, BufferError>
 where
     B: Body<Data = Bytes> + Send + Unpin + 'static,
     B::Error: Into<http::BodyError>,
 {
     let mut held = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| HoldError::Broken {
+        let frame = frame.map_err(|error| BufferError::Interrupted {
             message: error.into().to_string(),
         })?;
         // Only chunked answers have trailers, and those are not held.
--- a/crates/daemon/src/targets.rs
+++ b/crates/daemon/src/targets.rs
@@ -59,10 +59,10 @@
 
 /// The answer to a message whose body broke off or is too large: it was not even looked at.
 fn unreadable(dialect: &dyn dialect::TargetDialect, message: String) -> Response<http::StreamBody> {
-    let fault = dialect::WishFault {
+    let fault = dialect::RequestError {
         code: code::ResultCode::RequestMalformed,
         message,
-        is_unknown: false,
+        is_unknown_endpoint: false,
     };
     log::warn!("{}: announcement not read: {}", fault.code, fault.message);
     let mut response = dialect.refuse(&fault);
@@ -70,15 +70,15 @@
     response
 }
 
-fn take(context: &process::ProcessContext, wish: dialect::TargetWish) {
+fn take(context: &process::ProcessContext, wish: dialect::TargetRequest) {
     let event = match wish {
-        dialect::TargetWish::Announce(mut announcement) => {
+        dialect::TargetRequest::Announce(mut announcement) => {
             if announcement.lease.is_zero() {
-                announcement.lease = settings::millis(context.lease_ms);
+                announcement.lease = settings::millis(context.default_lease_ms);
             }
             membership::MembershipEvent::Announced(announcement)
         }
-        dialect::TargetWish::Withdraw(name) => membership::MembershipEvent::Withdrawn(name),
+        dialect::TargetRequest::Withdraw(name) => membership::MembershipEvent::Withdrawn(name),
     };
     context.engine.tell(event::Event::Membership(event));
 }
--- a/crates/daemon/src/trace.rs
+++ b/crates/daemon/src/trace.rs
@@ -70,7 +70,7 @@
 
 /// Puts the time into the headers of what is sent to another node.
 pub fn send_clock(clock: &timeline::HybridClock, headers: &mut HeaderMap) {
-    let value = http::passing_value(&clock.tick());
+    let value = http::unindexed_value(&clock.tick());
     headers.insert(wire::CLOCK_HEADER, value);
 }
 
--- a/fuzz/fuzz_targets/texts.rs
+++ b/fuzz/fuzz_targets/texts.rs
@@ -15,5 +15,5 @@
     drop(file::parse_file(text));
     drop(serde_json::from_str::<change::ChangeRequest>(text));
     let body = text.as_bytes();
-    drop(dialect::own::OwnTargets.read(&Method::POST, "/v1/announce", body));
+    drop(dialect::native::NativeTargets.read(&Method::POST, "/v1/announce", body));
 });
--- a/src/hazeltillerd.rs
+++ b/src/hazeltillerd.rs
@@ -117,7 +117,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
-        part = running.parts.ended() => {
+        part = running.critical_tasks.ended() => {
             let code = code::ResultCode::PartEnded;
             log::error!("{code}: {part}: {}; {}", code.meaning(), code.advice());
             logging::finish();
--- a/tests/all/decoders.rs
+++ b/tests/all/decoders.rs
@@ -1,7 +1,7 @@
 //! The daemon's decoders of text from outside: settings, announcements; and the load tool's mixes.
 
 use hazeltiller_daemon::{
-    dialect::{TargetDialect, own},
+    dialect::{TargetDialect, native},
     settings,
 };
 use hazeltiller_standin::{behaviour, load::mix};
@@ -32,7 +32,7 @@
         settings::ProcessSettings::parse(text).is_ok()
     }),
     (ANNOUNCEMENT, |text| {
-        own::OwnTargets
+        native::NativeTargets
             .read(&Method::POST, "/v1/announce", text.as_bytes())
             .is_ok()
     }),
--- a/tests/all/links.rs
+++ b/tests/all/links.rs
@@ -111,7 +111,7 @@
     let (listener, address) = listen().await;
     let listener = listener.into_std().expect("it is bound");
     std::thread::spawn(|| slow_node(listener));
-    let nodes = pool::NodePool::with_sign(credentials("own"), sign_time);
+    let nodes = pool::NodePool::with_keepalive_timeout(credentials("own"), sign_time);
     let request = Request::get(format!("http://{address}/")).body(http::full_body(""));
     let sent = nodes.send(address, request.expect("it is a URI")).await;
     sent.map(|response| response.status())
@@ -128,7 +128,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_sign_given_up() {
     let answered = call_slow_node(Duration::from_millis(1)).await;
-    let is_broken = matches!(answered, Err(pool::SendError::Broken { .. }));
+    let is_broken = matches!(answered, Err(pool::SendError::ConnectionLost { .. }));
     assert!(is_broken, "{answered:?}");
 }
 
--- a/tests/all/parts.rs
+++ b/tests/all/parts.rs
@@ -1,6 +1,6 @@
 //! Parts that a process cannot do without: the end of one is told, so that the process can end.
 
-use hazeltiller_daemon::{parts, process, settings};
+use hazeltiller_daemon::{critical_tasks, process, settings};
 use hazeltiller_testkit::wait;
 use serde_json::json;
 
@@ -24,10 +24,10 @@
         .inspect(|_| panic!("as a fault of the reducer would"))
         .await;
     assert_eq!(looked, None::<()>);
-    let ended = told(&mut running.parts).await;
+    let ended = told(&mut running.critical_tasks).await;
     assert_eq!(
         ended,
-        parts::ProcessPart::Reducer,
+        critical_tasks::CriticalTask::Reducer,
         "not the threads that it feeds"
     );
 }
@@ -35,21 +35,24 @@
 /// A thread that panics tells so; one that ends in order does not.
 #[tokio::test]
 async fn thread_told() {
-    let (registry, mut watch) = parts::PartRegistry::new();
-    let orderly = registry.guard(parts::ProcessPart::ClaimsWriter);
-    std::thread::spawn(move || orderly.release())
+    let (registry, mut watch) = critical_tasks::TaskRegistry::new();
+    let orderly = registry.guard(critical_tasks::CriticalTask::ClaimsWriter);
+    std::thread::spawn(move || orderly.disarm())
         .join()
         .expect("it ends in order");
-    let guard = registry.guard(parts::ProcessPart::LogWriter);
+    let guard = registry.guard(critical_tasks::CriticalTask::LogWriter);
     let thread = std::thread::spawn(move || {
         let _guard = guard;
         panic!("as a fault of the store would")
     });
     thread.join().expect_err("it panicked");
-    assert_eq!(told(&mut watch).await, parts::ProcessPart::LogWriter);
+    assert_eq!(
+        told(&mut watch).await,
+        critical_tasks::CriticalTask::LogWriter
+    );
 }
 
-async fn told(watch: &mut parts::PartWatch) -> parts::ProcessPart {
+async fn told(watch: &mut critical_tasks::TaskMonitor) -> critical_tasks::CriticalTask {
     tokio::time::timeout(wait::LONGEST_WAIT, watch.ended())
         .await
         .expect("an end is told")
--- a/tests/all/pipelining.rs
+++ b/tests/all/pipelining.rs
@@ -20,11 +20,11 @@
     net::TcpSocket,
 };
 
-const BOUNDS: http1::ConnectionBounds = http1::ConnectionBounds {
-    head_bytes: 8192,
-    head_lines: 64,
-    head_time: Duration::from_secs(30),
-    idle_time: Duration::from_secs(30),
+const BOUNDS: http1::ConnectionLimits = http1::ConnectionLimits {
+    max_head_bytes: 8192,
+    max_headers: 64,
+    head_timeout: Duration::from_secs(30),
+    idle_timeout: Duration::from_secs(30),
 };
 
 /// A body whose end is known with its last frame, but not its length.
@@ -53,7 +53,7 @@
 
 struct FixedAnswer(KnownFrames);
 
-impl http1::CallService for FixedAnswer {
+impl http1::CallHandler for FixedAnswer {
     async fn serve(&self, _request: http1::CallRequest) -> http1::CallResponse {
         Response::new(self.0.clone().boxed_unsync())
     }
