--- a/crates/daemon/src/callers/attempt.rs
+++ b/crates/daemon/src/callers/attempt.rs
@@ -75,8 +75,8 @@
     let (parts, body) = response.into_parts();
     match response_buffer::buffer(body, &parts, max_bytes, deadline).await {
         Ok(body) => Ok(Response::from_parts(parts, body)),
-        Err(response_buffer::BufferError::Interrupted { message }) => {
-            log::debug!("response from another node was interrupted: {message}");
+        Err(response_buffer::BufferError::Truncated { message }) => {
+            log::debug!("response from another node was truncated: {message}");
             Err(calls::AttemptResult::Lost)
         }
         Err(response_buffer::BufferError::DeadlineExceeded) => Err(deadline_exceeded()),
--- a/crates/daemon/src/callers/stored_response.rs
+++ b/crates/daemon/src/callers/stored_response.rs
@@ -19,8 +19,8 @@
     Complete(Bytes, Option<HeaderMap>),
     /// The data read so far and the rest of the stream.
     TooLarge(Bytes, http::StreamBody),
-    /// The stream failed before its end.
-    Interrupted,
+    /// The stream ended early.
+    Truncated,
 }
 
 /// Reads a response, passes it to the ledger if it can be stored, and returns it.
@@ -50,7 +50,7 @@
             (None, body.boxed_unsync())
         }
         BufferedBody::TooLarge(bytes, rest) => (None, http::chain_body(bytes, rest)),
-        BufferedBody::Interrupted => {
+        BufferedBody::Truncated => {
             let code = code::ResultCode::TargetFailed;
             return http::refusal_response(&wire::CallRefusal::unknown(code));
         }
@@ -81,7 +81,7 @@
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return BufferedBody::Interrupted;
+            return BufferedBody::Truncated;
         };
         match frame.into_data() {
             Ok(data) => bytes.extend_from_slice(&data),
--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -50,19 +50,19 @@
         /// The proposal, to which the actor assigns its number.
         proposal: replication::ChangeProposal,
         /// Receives the result.
-        answer: oneshot::Sender<replication::ProposalAnswer>,
+        reply: oneshot::Sender<replication::ProposalAnswer>,
     },
     /// Reads the current revision and replies with it.
     ReadRevision {
         /// Receives the revision.
-        answer: oneshot::Sender<replication::ProposalAnswer>,
+        reply: oneshot::Sender<replication::ProposalAnswer>,
     },
     /// Proposes a change of the control group and replies with its result.
     ChangeGroup {
         /// The change.
         change: replication::GroupChange,
         /// Receives the result.
-        answer: oneshot::Sender<replication::ProposalAnswer>,
+        reply: oneshot::Sender<replication::ProposalAnswer>,
     },
     /// Runs a closure on the state.
     Inspect(Inspection),
@@ -135,19 +135,19 @@
             }
             EngineInput::Propose {
                 mut proposal,
-                answer,
+                reply,
             } => {
-                proposal.number = self.register_proposal(answer);
+                proposal.number = self.register_proposal(reply);
                 let event = replication::ReplicationEvent::Propose(Box::new(proposal));
                 self.reduce(event::Event::Replication(event));
             }
-            EngineInput::ReadRevision { answer } => {
-                let number = self.register_proposal(answer);
+            EngineInput::ReadRevision { reply } => {
+                let number = self.register_proposal(reply);
                 let event = replication::ReplicationEvent::Read(number);
                 self.reduce(event::Event::Replication(event));
             }
-            EngineInput::ChangeGroup { change, answer } => {
-                let number = self.register_proposal(answer);
+            EngineInput::ChangeGroup { change, reply } => {
+                let number = self.register_proposal(reply);
                 let event = replication::ReplicationEvent::ChangeGroup { number, change };
                 self.reduce(event::Event::Replication(event));
             }
@@ -160,11 +160,11 @@
     /// Assigns a number to a proposal, under which its result is returned.
     fn register_proposal(
         &mut self,
-        answer: oneshot::Sender<replication::ProposalAnswer>,
+        reply: oneshot::Sender<replication::ProposalAnswer>,
     ) -> replication::ProposalNumber {
         self.last_proposal_number += 1;
         self.pending_proposals
-            .insert(self.last_proposal_number, answer);
+            .insert(self.last_proposal_number, reply);
         replication::ProposalNumber(self.last_proposal_number)
     }
 
@@ -240,9 +240,9 @@
                 log::log!(level, "{code}: {meaning}: {message}; {advice}");
             }
             replication::ReplicationEffect::Answer { number, answer } => {
-                if let Some(pending) = self.pending_proposals.swap_remove(&number.0) {
+                if let Some(reply) = self.pending_proposals.swap_remove(&number.0) {
                     // Fails if the operator has disconnected, which does not affect the change.
-                    drop(pending.send(answer));
+                    drop(reply.send(answer));
                 }
             }
         }
@@ -328,8 +328,8 @@
         &self,
         proposal: replication::ChangeProposal,
     ) -> replication::ProposalAnswer {
-        let (answer, receiver) = oneshot::channel();
-        self.enqueue(EngineInput::Propose { proposal, answer });
+        let (reply, receiver) = oneshot::channel();
+        self.enqueue(EngineInput::Propose { proposal, reply });
         receiver
             .await
             .unwrap_or(replication::ProposalAnswer::Unknown)
@@ -337,8 +337,8 @@
 
     /// Reads the current revision. Returns `Unknown` if the process stops meanwhile.
     pub async fn read_revision(&self) -> replication::ProposalAnswer {
-        let (answer, receiver) = oneshot::channel();
-        self.enqueue(EngineInput::ReadRevision { answer });
+        let (reply, receiver) = oneshot::channel();
+        self.enqueue(EngineInput::ReadRevision { reply });
         receiver
             .await
             .unwrap_or(replication::ProposalAnswer::Unknown)
@@ -349,8 +349,8 @@
         &self,
         change: replication::GroupChange,
     ) -> replication::ProposalAnswer {
-        let (answer, receiver) = oneshot::channel();
-        self.enqueue(EngineInput::ChangeGroup { change, answer });
+        let (reply, receiver) = oneshot::channel();
+        self.enqueue(EngineInput::ChangeGroup { change, reply });
         receiver
             .await
             .unwrap_or(replication::ProposalAnswer::Unknown)
@@ -361,8 +361,8 @@
         &self,
         read: impl FnOnce(&reducer::EngineState) -> T + Send + 'static,
     ) -> Option<T> {
-        let (answer, receiver) = oneshot::channel();
-        let inspection = move |state: &reducer::EngineState| drop(answer.send(read(state)));
+        let (reply, receiver) = oneshot::channel();
+        let inspection = move |state: &reducer::EngineState| drop(reply.send(read(state)));
         self.enqueue(EngineInput::Inspect(Box::new(inspection)));
         receiver.await.ok()
     }
--- a/crates/daemon/src/http1.rs
+++ b/crates/daemon/src/http1.rs
@@ -35,7 +35,7 @@
 pub use body::RequestBody;
 
 /// Maximum number of responses queued per connection. Further requests are not parsed until the
-/// queue has room.
+/// queue has room, and are still answered in order.
 const MAX_PIPELINED_REQUESTS: usize = 16;
 /// Bytes to buffer while the response queue is full. Reading on detects that the caller
 /// disconnects while its next requests wait.
--- a/crates/daemon/src/http1/body.rs
+++ b/crates/daemon/src/http1/body.rs
@@ -91,8 +91,8 @@
 ) -> (Option<BodySender>, http::StreamBody) {
     let (state, length) = match framing {
         BodyFraming::Length(length) if length <= buffer.len() as u64 => {
-            let whole = buffer.split_to(length as usize).freeze();
-            return (None, http::full_body(whole));
+            let data = buffer.split_to(length as usize).freeze();
+            return (None, http::full_body(data));
         }
         BodyFraming::Length(length) => (BodyState::Length(length), Some(length)),
         BodyFraming::Chunked => (BodyState::Chunked(ChunkState::Size), None),
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -225,13 +225,13 @@
         let max_bytes = context.request_tunables.answer_hold_bytes;
         let body = match response_buffer::buffer(body, &parts, max_bytes, self.deadline).await {
             Ok(body) => body,
-            Err(response_buffer::BufferError::Interrupted { message }) => {
+            Err(response_buffer::BufferError::Truncated { message }) => {
                 log::debug!(
-                    "response of target {} was interrupted: {message}",
+                    "response of target {} was truncated: {message}",
                     self.plan.target
                 );
-                let interrupted = wire::CallRefusal::unknown(code::ResultCode::TargetFailed);
-                return self.refuse(calls::RunResult::Cut, interrupted);
+                let truncated = wire::CallRefusal::unknown(code::ResultCode::TargetFailed);
+                return self.refuse(calls::RunResult::Cut, truncated);
             }
             Err(response_buffer::BufferError::DeadlineExceeded) => {
                 let timed_out = wire::CallRefusal::unknown(code::ResultCode::DeadlineExceeded);
--- a/crates/daemon/src/pool/nodes.rs
+++ b/crates/daemon/src/pool/nodes.rs
@@ -38,8 +38,9 @@
 
 /// Distinguishes a request that the other node did not process from one that may have run.
 ///
-/// The former fails with a GOAWAY frame with `NO_ERROR`, sent by a node that shuts the connection
-/// down gracefully, or with `REFUSED_STREAM`, sent by a node at its limit of streams.
+/// A request was not processed if it fails with GOAWAY and `NO_ERROR` or with `REFUSED_STREAM`. A
+/// node that shuts a connection down gracefully sends the former for streams above the last one
+/// that it accepts. A node at its limit of streams sends the latter.
 fn classify_error(error: hyper::Error) -> SendError {
     let mut cause = std::error::Error::source(&error);
     while let Some(inner) = cause {
--- a/crates/daemon/src/response_buffer.rs
+++ b/crates/daemon/src/response_buffer.rs
@@ -21,7 +21,7 @@
 pub enum BufferError {
     /// The body ended early.
     #[snafu(display("response body ended early: {message}"))]
-    Interrupted {
+    Truncated {
         /// The cause.
         message: String,
     },
@@ -66,7 +66,7 @@
 {
     let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| BufferError::Interrupted {
+        let frame = frame.map_err(|error| BufferError::Truncated {
             message: error.into().to_string(),
         })?;
         // Only chunked responses have trailers, and those are not buffered.
