--- a/crates/engine/src/dissemination/floor.rs
+++ b/crates/engine/src/dissemination/floor.rs
@@ -73,8 +73,8 @@
         Some(match controls.count() {
             0 => format!("no control answers, and no node of {data_centre} that holds a version"),
             count => format!(
-                "{count} of {} controls answer, none can show a majority, and no node of {data_centre} \
-                 that holds a version answers",
+                "{count} of {} controls answer, none can show a majority, and no node of \
+                 {data_centre} that holds a version answers",
                 state.settings.control.len()
             ),
         })
