--- a/crates/daemon/src/dialect/own.rs
+++ b/crates/daemon/src/dialect/own.rs
@@ -152,7 +152,7 @@
         record,
         lease,
         sequence: None,
-        warm_in: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     }))
 }
 
--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -75,7 +75,7 @@
         let word = if *name == state.settings.identity.instance {
             "self"
         } else {
-            state.membership.reachability(name).word()
+            state.membership.reachability(name).as_str()
         };
         metrics.members.with_label_values(&[word]).inc();
     }
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -51,7 +51,7 @@
             .map(|member| member_document(state, &member.record))
             .collect();
         let count = |reachability: reach::Reachability| {
-            let word = reachability.word();
+            let word = reachability.as_str();
             others
                 .iter()
                 .filter(|member| member.reachability == word)
@@ -79,7 +79,7 @@
         instance: identity.instance.clone(),
         data_centre: identity.data_centre.clone(),
         is_control: identity.is_control,
-        reachability: state.membership.reachability(&identity.instance).word(),
+        reachability: state.membership.reachability(&identity.instance).as_str(),
         incarnation: identity.incarnation,
     }
 }
@@ -105,7 +105,7 @@
     let list = context.engine.inspect(|state| {
         let documents = state.membership.present().flat_map(|member| {
             let identity = member.identity.clone();
-            let reachability = state.membership.reachability(&identity.instance).word();
+            let reachability = state.membership.reachability(&identity.instance).as_str();
             member.targets.iter().map(move |target| TargetDocument {
                 record: target.clone(),
                 instance: identity.instance.clone(),
@@ -146,7 +146,7 @@
         let behind = view.behind.into_iter().map(|node| BehindDocument {
             instance: node.instance,
             data_centre: node.data_centre,
-            reachability: node.reachability.word(),
+            reachability: node.reachability.as_str(),
         });
         Self {
             version: view.version,
--- a/crates/daemon/src/operators/revision.rs
+++ b/crates/daemon/src/operators/revision.rs
@@ -55,7 +55,7 @@
 async fn leader_elsewhere(context: &process::ProcessContext) -> Option<std::net::SocketAddr> {
     let look = |state: &hazeltiller_engine::reducer::EngineState| {
         let leader = state.replication.as_ref()?.live_leader(state)?;
-        state.membership.at(leader)?.operators
+        state.membership.member_at(leader)?.operators
     };
     context.engine.inspect(look).await.flatten()
 }
--- a/crates/daemon/src/operators/rollouts.rs
+++ b/crates/daemon/src/operators/rollouts.rs
@@ -44,7 +44,7 @@
     let versions = counts.into_iter().flatten();
     let leader = state.replication.as_ref();
     let leader = leader.and_then(|replication| replication.live_leader(state));
-    let leader = leader.and_then(|leader| state.membership.at(leader)?.operators);
+    let leader = leader.and_then(|leader| state.membership.member_at(leader)?.operators);
     RolloutDocument {
         service: entry.name.clone(),
         elapsed_ms: state.rollout.elapsed(&entry.name, state.now),
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -76,7 +76,7 @@
     let contacts = next.contacts();
     if contacts != current.contacts() {
         log::info!("controls to ask from now on: {contacts:?}");
-        let event = membership::MembershipEvent::Contacts(contacts);
+        let event = membership::MembershipEvent::ControlsChanged(contacts);
         context.engine.tell(event::Event::Membership(event));
     }
     logging::set_level(&next.log);
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -157,7 +157,7 @@
     let is_late = record.deadline <= state.now;
     health::end_run(state, &offer.target, result, is_late);
     if result == calls::RunResult::Misplaced {
-        let gone = membership::MembershipEvent::Misplaced(offer.target.clone());
+        let gone = membership::MembershipEvent::WrongTarget(offer.target.clone());
         output.follow(event::Event::Membership(gone));
     }
     let took = state.now.since(started);
--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -30,7 +30,7 @@
     /// taken was held up on the way.
     pub sequence: Option<u64>,
     /// Time until the target has its full speed, where it tells.
-    pub warm_in: Duration,
+    pub warm_up_left: Duration,
 }
 
 /// Events of membership.
@@ -41,9 +41,9 @@
     /// A target left.
     Withdrawn(ids::TargetName),
     /// Another target answered at a target's address.
-    Misplaced(ids::TargetName),
+    WrongTarget(ids::TargetName),
     /// The settings name other controls.
-    Contacts(Vec<SocketAddr>),
+    ControlsChanged(Vec<SocketAddr>),
     /// This process stops: say so.
     Leave,
 }
@@ -148,7 +148,7 @@
     }
 
     /// The member at a peers address, this process included.
-    pub fn at(&self, address: SocketAddr) -> Option<&wire::PeerIdentity> {
+    pub fn member_at(&self, address: SocketAddr) -> Option<&wire::PeerIdentity> {
         let mut identities = self.present().map(|record| &record.identity);
         identities.find(|identity| identity.address == address)
     }
@@ -160,7 +160,7 @@
 }
 
 /// Notes that a peer is alive.
-pub fn heard(state: &mut reducer::EngineState, from: &wire::PeerIdentity) {
+pub fn record_contact(state: &mut reducer::EngineState, from: &wire::PeerIdentity) {
     reach::heard(state, from);
 }
 
@@ -209,7 +209,7 @@
 }
 
 /// Takes an event of this node's targets.
-pub fn take(
+pub fn handle_event(
     state: &mut reducer::EngineState,
     event: MembershipEvent,
     output: &mut event::ReducerOutput,
@@ -217,8 +217,8 @@
     match event {
         MembershipEvent::Announced(announcement) => own::announce(state, announcement, output),
         MembershipEvent::Withdrawn(name) => own::depart(state, &name, output),
-        MembershipEvent::Misplaced(name) => own::misplace(state, &name, output),
-        MembershipEvent::Contacts(control) => state.settings.control = control,
+        MembershipEvent::WrongTarget(name) => own::misplace(state, &name, output),
+        MembershipEvent::ControlsChanged(control) => state.settings.control = control,
         MembershipEvent::Leave => own::leave(state, output),
     }
 }
--- a/crates/engine/src/membership/own.rs
+++ b/crates/engine/src/membership/own.rs
@@ -71,7 +71,7 @@
     let is_restart = known.is_some_and(|known| known.record.incarnation < record.incarnation);
     let is_news = known.is_none_or(|known| known.record != record);
     // Each announcement tells the time left; the earliest end holds within a life.
-    let told_warm = state.now + announcement.warm_in;
+    let told_warm = state.now + announcement.warm_up_left;
     let warm_at = known
         .filter(|_| !is_restart)
         .map_or(told_warm, |known| known.warm_at.min(told_warm));
--- a/crates/engine/src/membership/reach.rs
+++ b/crates/engine/src/membership/reach.rs
@@ -30,7 +30,7 @@
 
 impl Reachability {
     /// The word in status.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Reachable => "reachable",
             Self::Suspected => "suspected",
--- a/crates/engine/src/reducer.rs
+++ b/crates/engine/src/reducer.rs
@@ -99,7 +99,7 @@
             rollout::tick(state, output);
         }
         event::Event::Received { from, message } => {
-            membership::heard(state, &from);
+            membership::record_contact(state, &from);
             match message {
                 message::PeerMessage::Replication(message) => {
                     replication::receive(state, &from, message, output);
@@ -125,7 +125,7 @@
         }
         event::Event::Replication(event) => replication::take(state, event, output),
         event::Event::Dissemination(event) => dissemination::handle_event(state, event, output),
-        event::Event::Membership(event) => membership::take(state, event, output),
+        event::Event::Membership(event) => membership::handle_event(state, event, output),
         event::Event::Calls(event) => calls::take(state, event, output),
         event::Event::Ledger(event) => ledger::take(state, event, output),
         event::Event::Quarantine(event) => quarantine::take(state, event, output),
--- a/crates/engine/tests/announcements.rs
+++ b/crates/engine/tests/announcements.rs
@@ -45,7 +45,7 @@
         record,
         lease: LEASE,
         sequence: Some(sequence),
-        warm_in: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     };
     let event = membership::MembershipEvent::Announced(announcement);
     node::of_calls(node.reduce(event::Event::Membership(event)))
@@ -221,7 +221,7 @@
             record,
             lease: LEASE,
             sequence: Some(2),
-            warm_in: Duration::ZERO,
+            warm_up_left: Duration::ZERO,
         };
         let event = membership::MembershipEvent::Announced(announcement);
         node.reduce(event::Event::Membership(event));
--- a/crates/engine/tests/membership.rs
+++ b/crates/engine/tests/membership.rs
@@ -58,7 +58,7 @@
         },
         lease: LEASE,
         sequence: None,
-        warm_in: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     };
     event::Event::Membership(membership::MembershipEvent::Announced(announcement))
 }
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -73,7 +73,7 @@
             record,
             lease: LONG_LEASE,
             sequence: None,
-            warm_in: Duration::ZERO,
+            warm_up_left: Duration::ZERO,
         };
         let event = membership::MembershipEvent::Announced(announcement);
         self.reduce(event::Event::Membership(event));
