--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -1,8 +1,9 @@
-//! Who is in the fleet, and which targets each node owns.
+//! Fleet membership, and the targets that each node owns.
 //!
-//! No quorum is asked: each node writes its own record only, and copies of it travel by gossip, so
-//! a data centre that is cut off goes on with its own part. What one node sends in rest does not
-//! grow with the fleet: a fixed number of partners, a bounded message to each.
+//! Membership needs no quorum: each node is the only author of its record, and copies of the record
+//! spread by gossip, so a partitioned data centre keeps working with the members on its side. The
+//! idle traffic of a node does not grow with the fleet: it has a fixed number of gossip partners
+//! and sends bounded messages.
 
 pub mod gossip;
 pub mod own;
@@ -19,78 +20,80 @@
 
 use crate::{event, reducer, settings};
 
-/// A target's own announcement, its heartbeat.
+/// A target's announcement, which also serves as its heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetAnnouncement {
-    /// What it says of itself.
+    /// The target's description of itself.
     pub record: wire::TargetRecord,
-    /// Time after which it is withdrawn unless it announces itself again.
+    /// Time after which the target is withdrawn unless it announces itself again.
     pub lease: Duration,
-    /// Number of the announcement where its target counts them: one that is not above the last
-    /// taken was held up on the way.
+    /// Sequence number of the announcement, if the target numbers them. An announcement whose
+    /// number is not above the last accepted one was delayed and is ignored.
     pub sequence: Option<u64>,
-    /// Time until the target has its full speed, where it tells.
+    /// Remaining warm-up time, if the target reports it; zero otherwise.
     pub warm_up_left: Duration,
 }
 
-/// Events of membership.
+/// Input events of membership.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MembershipEvent {
     /// A target announced itself at this node.
     Announced(TargetAnnouncement),
-    /// A target left.
+    /// A target deregistered.
     Withdrawn(ids::TargetName),
-    /// Another target answered at a target's address.
+    /// A request to a target was answered by another one at the same address.
     WrongTarget(ids::TargetName),
-    /// The settings name other controls.
+    /// The settings were reloaded and name other controls.
     ControlsChanged(Vec<SocketAddr>),
-    /// This process stops: say so.
+    /// This process is stopping and announces that it leaves.
     Leave,
 }
 
-/// Effects of membership.
+/// Effects of membership, to be run by the caller of the reducer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MembershipEffect {
-    /// A target is withdrawn: close what is open to it.
+    /// A target was withdrawn: connections to it must be closed.
     Withdraw(ids::TargetName),
 }
 
-/// A target that announced itself here.
+/// A target registered at this node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OwnTarget {
-    /// What it says of itself.
+    /// The target's latest description of itself.
     pub record: wire::TargetRecord,
-    /// When its lease lapses.
-    pub lapses: time::MonotonicTime,
-    /// Number of its latest announcement, where it counts them.
+    /// When the lease expires.
+    pub lease_expires_at: time::MonotonicTime,
+    /// Sequence number of the latest announcement, if the target numbers them.
     pub sequence: Option<u64>,
-    /// When it has its full speed.
+    /// When the target is fully warmed up.
     pub warm_at: time::MonotonicTime,
 }
 
-/// State of membership.
+/// State of membership on one process.
 #[derive(Debug, Clone)]
 pub struct MembershipState {
     /// This process's own record.
     pub own: wire::MemberRecord,
-    /// Own targets by name.
+    /// Targets registered at this node, by name.
     pub targets: IndexMap<ids::TargetName, OwnTarget>,
-    /// Own targets that left or gave way to another one at their address.
-    departed: IndexMap<ids::TargetName, own::DepartedTarget>,
-    /// Every other member by name, those that left or were forgotten included.
+    /// Targets that deregistered, or were displaced by another one at their address. Delayed
+    /// announcements of these are ignored.
+    removed: IndexMap<ids::TargetName, own::RemovedTarget>,
+    /// Every other member by name, including those that left or were forgotten.
     pub members: IndexMap<ids::InstanceName, table::KnownMember>,
-    /// Grows whenever a member, a target or what is known of its reach changes; choices made from
-    /// membership are kept until then.
+    /// Increases whenever a member, a target or a member's reachability changes. Routing tables
+    /// derived from membership stay valid until then.
     pub revision: u64,
-    /// Data centres that nothing has come from for too long.
-    silent: IndexSet<ids::DataCentreName>,
-    /// Digests of the table's buckets.
+    /// Data centres not heard from for longer than the limit.
+    silent_centres: IndexSet<ids::DataCentreName>,
+    /// Digest of each bucket of the member table.
     buckets: Vec<wire::ShortDigest>,
-    /// When each data centre was last heard from, directly or through others.
-    centres: IndexMap<u32, time::MonotonicTime>,
-    /// Members whose records go out with the next rumour.
+    /// When each data centre was last heard from, directly or through others, by digest of its
+    /// name.
+    centre_contacts: IndexMap<u32, time::MonotonicTime>,
+    /// Members whose records are sent with the next rumour.
     rumours: IndexSet<ids::InstanceName>,
-    /// Suspicions that go out with the next rumour.
+    /// Suspicions that are sent with the next rumour, by suspected member.
     suspicions: IndexMap<ids::InstanceName, wire::MemberSuspicion>,
     partners: partners::PartnerSet,
     sync: sync::SyncState,
@@ -98,7 +101,7 @@
 }
 
 impl MembershipState {
-    /// The state of a process that knows only itself.
+    /// Creates the state of a process that knows no other member.
     pub fn new(settings: &settings::EngineSettings) -> Self {
         let own = wire::MemberRecord {
             identity: settings.identity.clone(),
@@ -109,24 +112,25 @@
         let mut state = Self {
             own,
             targets: IndexMap::new(),
-            departed: IndexMap::new(),
+            removed: IndexMap::new(),
             members: IndexMap::new(),
             revision: 0,
-            silent: IndexSet::new(),
+            silent_centres: IndexSet::new(),
             buckets: vec![wire::ShortDigest::default(); table::BUCKETS],
-            centres: IndexMap::new(),
+            centre_contacts: IndexMap::new(),
             rumours: IndexSet::new(),
             suspicions: IndexMap::new(),
             partners: partners::PartnerSet::default(),
             sync: sync::SyncState::default(),
             timers: gossip::GossipTimers::default(),
         };
-        state.toggle_own();
+        state.toggle_own_digest();
         state.rumours.insert(settings.identity.instance.clone());
         state
     }
 
-    /// Members, this process included, that are not known to have left; some may be unreachable.
+    /// Returns the records of the members, including this process, that have neither left nor been
+    /// forgotten. Some may be unreachable.
     pub fn present(&self) -> impl Iterator<Item = &wire::MemberRecord> {
         let others = self.others().map(|member| &member.record);
         std::iter::once(&self.own)
@@ -134,12 +138,13 @@
             .chain(others)
     }
 
-    /// Whether a member answers as far as is known here; one that does not may still run.
+    /// Returns whether a member is not considered unreachable. A member that is unreachable from
+    /// here may still be running.
     pub fn is_reachable(&self, instance: &ids::InstanceName) -> bool {
         self.reachability(instance) != reach::Reachability::Unreachable
     }
 
-    /// Peers addresses of the other controls that are not known to have left.
+    /// Returns the peer addresses of the other controls that have neither left nor been forgotten.
     pub fn controls(&self) -> impl Iterator<Item = SocketAddr> {
         let identities = self.others().map(|member| &member.record.identity);
         identities
@@ -147,34 +152,35 @@
             .map(|identity| identity.address)
     }
 
-    /// The member at a peers address, this process included.
+    /// Returns the member with a peer address, which may be this process.
     pub fn member_at(&self, address: SocketAddr) -> Option<&wire::PeerIdentity> {
         let mut identities = self.present().map(|record| &record.identity);
         identities.find(|identity| identity.address == address)
     }
 
-    /// Other members that are not known to have left.
+    /// Returns the other members that have neither left nor been forgotten.
     pub fn others(&self) -> impl Iterator<Item = &table::KnownMember> {
         self.members.values().filter(|member| member.is_present())
     }
 }
 
-/// Notes that a peer is alive.
+/// Records that a peer is alive.
 pub fn record_contact(state: &mut reducer::EngineState, from: &wire::PeerIdentity) {
-    reach::heard(state, from);
+    reach::record_contact(state, from);
 }
 
-/// Notes that a link broke. Silence is judged by the clock, so that one broken link ejects nobody.
+/// Handles the loss of a link. Members are judged by their silence over time only, so that one
+/// broken link does not eject a member.
 pub fn link_lost(_state: &mut reducer::EngineState, _address: SocketAddr) {}
 
-/// Takes the passing of time.
+/// Advances timers.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
-    own::withdraw_lapsed(state, output);
+    own::withdraw_expired(state, output);
     reach::tick(state);
     gossip::tick(state, output);
 }
 
-/// Takes a message of another member.
+/// Handles a message from another member.
 pub fn receive(
     state: &mut reducer::EngineState,
     from: &wire::PeerIdentity,
@@ -183,15 +189,15 @@
 ) {
     match message {
         wire::MembershipMessage::Probe(gossip) => {
-            gossip::take(state, from, gossip, output);
-            gossip::answer(state, from.address, output);
+            gossip::handle_gossip(state, from, gossip, output);
+            gossip::answer_probe(state, from.address, output);
         }
         wire::MembershipMessage::Alive(gossip) | wire::MembershipMessage::Rumour(gossip) => {
-            gossip::take(state, from, gossip, output);
+            gossip::handle_gossip(state, from, gossip, output);
         }
-        wire::MembershipMessage::Join(record) => gossip::introduce(state, record, output),
+        wire::MembershipMessage::Join(record) => gossip::answer_join(state, record, output),
         wire::MembershipMessage::Introduction(addresses) => {
-            gossip::take_introduction(state, addresses, output);
+            gossip::handle_introduction(state, addresses, output);
         }
         wire::MembershipMessage::Buckets(buckets) => {
             sync::compare_buckets(state, from.address, &buckets, output);
@@ -203,12 +209,12 @@
             sync::send_records(state, from.address, &members, output);
         }
         wire::MembershipMessage::Records(records) => {
-            sync::take_records(state, from.address, records, output);
+            sync::handle_records(state, from.address, records, output);
         }
     }
 }
 
-/// Takes an event of this node's targets.
+/// Handles an input event.
 pub fn handle_event(
     state: &mut reducer::EngineState,
     event: MembershipEvent,
@@ -216,9 +222,9 @@
 ) {
     match event {
         MembershipEvent::Announced(announcement) => own::announce(state, announcement, output),
-        MembershipEvent::Withdrawn(name) => own::depart(state, &name, output),
-        MembershipEvent::WrongTarget(name) => own::misplace(state, &name, output),
-        MembershipEvent::ControlsChanged(control) => state.settings.control = control,
+        MembershipEvent::Withdrawn(name) => own::withdraw_permanently(state, &name, output),
+        MembershipEvent::WrongTarget(name) => own::withdraw_wrong_target(state, &name, output),
+        MembershipEvent::ControlsChanged(controls) => state.settings.control = controls,
         MembershipEvent::Leave => own::leave(state, output),
     }
 }
--- a/crates/engine/src/membership/gossip.rs
+++ b/crates/engine/src/membership/gossip.rs
@@ -1,8 +1,8 @@
-//! Rounds of gossip: probes at a steady pace, rumours as soon as there is news.
+//! Gossip: periodic probes, and rumours as soon as a record changes.
 //!
-//! A rumour goes to every partner once, from each member that it is news to; what is lost on the
-//! way is found by the tables' digests, which every message carries. The digests do not cover who
-//! is suspected, so probes repeat some of the suspicions that are held.
+//! Each member to which a record is new sends it to all of its partners once, in a rumour. Lost
+//! rumours are detected by the digest of the member table, which every message carries. That digest
+//! does not cover suspicions, so probes repeat a random sample of them.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -18,59 +18,61 @@
     reducer, settings,
 };
 
-/// Records in one rumour, and news so few that they are passed on as rumours.
-const LARGEST_RUMOUR: usize = 10;
-/// Members that a process begins with.
-const INTRODUCED: usize = 3;
-/// Of these, how many it asks: one of them may have stopped meanwhile, or know nobody itself.
-const ASKED: usize = 2;
-/// First pause between two requests to be introduced; it doubles up to a quarter of `heal_ms`. A control
-/// that is cut off costs a process that starts beside it one such pause, not a second.
-const FIRST_JOIN_PAUSE: Duration = Duration::from_millis(100);
-/// Processes that are remembered for having asked for members.
-const JOINED: usize = 64;
-/// Records of a synchronization that still count as news for others.
-const FEW_RECORDS: usize = 4;
-/// Suspicions that a probe repeats.
-const REPEATED_SUSPICIONS: usize = 3;
-/// For so many periods after its start a process probes faster: what it was introduced to may be
-/// a part of the fleet only, and the controls that hold the parts together may go.
-const YOUNG_PERIODS: u32 = 5;
-/// How many times faster.
-const YOUNG_SPEED: u32 = 5;
+/// Maximum number of records, and of suspicions, in one rumour.
+const MAX_RUMOUR_ITEMS: usize = 10;
+/// Number of members named to a process that joins.
+const INTRODUCED_MEMBERS: usize = 3;
+/// Number of introduced members that the joining process synchronizes with. One alone may have
+/// stopped in the meantime, or know nobody itself.
+const INITIAL_SYNC_PEERS: usize = 2;
+/// First pause between two requests to join; it doubles up to a quarter of `heal_ms`. A process
+/// that starts next to an unreachable control loses only one such pause, not a second.
+const INITIAL_JOIN_PAUSE: Duration = Duration::from_millis(100);
+/// Number of recently joined processes that are remembered.
+const MAX_RECENT_JOINS: usize = 64;
+/// Maximum number of records in a synchronization that are still spread as rumours.
+const MAX_SYNC_NEWS: usize = 4;
+/// Maximum number of suspicions that a probe repeats.
+const PROBE_SUSPICIONS: usize = 3;
+/// Number of gossip periods after the start for which a process sends more often. The members it
+/// was introduced to may be only one part of the fleet, and the controls that connect the parts may
+/// fail.
+const STARTUP_PERIODS: u32 = 5;
+/// Factor by which the periods are shorter during that time.
+const STARTUP_SPEEDUP: u32 = 5;
 
-/// Time between two looks through the whole table.
-const JUDGEMENT_PERIOD: Duration = Duration::from_millis(200);
+/// Time between two scans of the whole member table.
+const TABLE_SCAN_PERIOD: Duration = Duration::from_millis(200);
 
-/// When the next message of each kind is due.
+/// Timers of gossip, and the state of joining and probing.
 #[derive(Debug, Clone, Default)]
 pub struct GossipTimers {
     next_probe: time::MonotonicTime,
     next_heal: time::MonotonicTime,
     next_join: time::MonotonicTime,
-    /// Pause after the latest request to be introduced; zero before the first.
+    /// Pause after the latest request to join; zero before the first one.
     join_pause: Duration,
-    /// Control that was asked last.
-    last_joined: Option<SocketAddr>,
-    next_judgement: time::MonotonicTime,
-    /// Processes that asked for members lately.
-    joined: VecDeque<wire::MemberRecord>,
-    /// Partners that have not answered, since when.
-    pub probed: IndexMap<ids::InstanceName, time::MonotonicTime>,
+    /// The control that was last asked for members.
+    last_asked_control: Option<SocketAddr>,
+    next_table_scan: time::MonotonicTime,
+    /// Processes that recently asked this one for members.
+    recent_joins: VecDeque<wire::MemberRecord>,
+    /// Partners with an unanswered probe, and when the first such probe was sent.
+    pub unanswered_probes: IndexMap<ids::InstanceName, time::MonotonicTime>,
 }
 
 impl GossipTimers {
-    /// Whether the whole table is to be looked through again.
-    pub fn is_due(&mut self, now: time::MonotonicTime) -> bool {
-        let is_due = now >= self.next_judgement;
-        if is_due {
-            self.next_judgement = now + JUDGEMENT_PERIOD;
+    /// Returns whether the whole table is to be scanned, and schedules the next scan if so.
+    pub fn is_table_scan_due(&mut self, now: time::MonotonicTime) -> bool {
+        let is_table_scan_due = now >= self.next_table_scan;
+        if is_table_scan_due {
+            self.next_table_scan = now + TABLE_SCAN_PERIOD;
         }
-        is_due
+        is_table_scan_due
     }
 }
 
-/// Takes the passing of time.
+/// Sends the messages that are due, unless this process has left.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     if state.membership.own.has_left {
         return;
@@ -82,8 +84,8 @@
     heal(state, output);
 }
 
-/// What this process says in any gossip.
-fn outline(state: &reducer::EngineState) -> wire::GossipMessage {
+/// Returns a message with the fields that all gossip carries.
+fn gossip_header(state: &reducer::EngineState) -> wire::GossipMessage {
     wire::GossipMessage {
         table: state.membership.table_digest(),
         held: dissemination::version_summary(state),
@@ -96,28 +98,31 @@
     output.send(to, message::PeerMessage::Membership(message));
 }
 
-/// A period as a process keeps it that has started lately: shorter.
-pub fn paced(state: &reducer::EngineState, period: Duration) -> Duration {
+/// Returns a period shortened by `STARTUP_SPEEDUP` if this process started recently.
+pub fn startup_paced(state: &reducer::EngineState, period: Duration) -> Duration {
     let gossip = settings::millis(state.settings.tunables.membership.gossip_ms);
-    let is_young = state.now.since(time::MonotonicTime::default()) < gossip * YOUNG_PERIODS;
-    if is_young {
-        period / YOUNG_SPEED
+    let is_starting = state.now.since(time::MonotonicTime::default()) < gossip * STARTUP_PERIODS;
+    if is_starting {
+        period / STARTUP_SPEEDUP
     } else {
         period
     }
 }
 
-/// A span between half and one and a half of a period, so that processes do not keep step.
+/// Returns a random time between half and one and a half times a period, so that processes do not
+/// synchronize.
 fn jittered(state: &mut reducer::EngineState, period: Duration) -> Duration {
     period.mul_f64(state.random.random_range(0.5..1.5))
 }
 
-/// Tells the partners the news, as much as one message holds; the rest goes with the next tick.
+/// Sends the pending rumours to all partners, as many as fit into one message. The rest follow on
+/// the next tick.
 pub fn send_rumours(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let own = &state.settings.identity;
     let membership = &mut state.membership;
     if own.is_control && !own.is_node {
-        // A control's bytes must not grow with the fleet: nodes pass on what nodes say.
+        // A control's traffic must not grow with the fleet, so nodes alone pass on the records of
+        // other members.
         membership.rumours.retain(|name| *name == own.instance);
     }
     if membership.partners.partners.is_empty()
@@ -125,15 +130,15 @@
     {
         return;
     }
-    let count = membership.rumours.len().min(LARGEST_RUMOUR);
+    let count = membership.rumours.len().min(MAX_RUMOUR_ITEMS);
     let names: Vec<ids::InstanceName> = membership.rumours.drain(..count).collect();
-    let count = membership.suspicions.len().min(LARGEST_RUMOUR);
+    let count = membership.suspicions.len().min(MAX_RUMOUR_ITEMS);
     let suspicions: Vec<wire::MemberSuspicion> = membership
         .suspicions
         .drain(..count)
         .map(|(_, suspicion)| suspicion)
         .collect();
-    let mut rumour = outline(state);
+    let mut rumour = gossip_header(state);
     rumour.suspicions = suspicions;
     rumour.records = names
         .iter()
@@ -149,29 +154,34 @@
         return;
     }
     let period = settings::millis(state.settings.tunables.membership.gossip_ms);
-    let period = paced(state, period);
+    let period = startup_paced(state, period);
     let pause = period.mul_f64(state.random.random_range(0.9..1.1));
     state.membership.timers.next_probe = state.now + pause;
-    let mut gossip = outline(state);
-    gossip.suspicions = reach::held_suspicions(state, REPEATED_SUSPICIONS);
+    let mut gossip = gossip_header(state);
+    gossip.suspicions = reach::sample_suspicions(state, PROBE_SUSPICIONS);
     let membership = &mut state.membership;
     let partners = &membership.partners.partners;
-    let probed = &mut membership.timers.probed;
-    probed.retain(|name, _| partners.contains_key(name));
+    let unanswered_probes = &mut membership.timers.unanswered_probes;
+    unanswered_probes.retain(|name, _| partners.contains_key(name));
     for (name, to) in partners {
-        probed.entry(name.clone()).or_insert(state.now);
+        unanswered_probes.entry(name.clone()).or_insert(state.now);
         send(output, *to, wire::MembershipMessage::Probe(gossip.clone()));
     }
 }
 
 /// Answers a probe.
-pub fn answer(state: &reducer::EngineState, to: SocketAddr, output: &mut event::ReducerOutput) {
-    let gossip = outline(state);
+pub fn answer_probe(
+    state: &reducer::EngineState,
+    to: SocketAddr,
+    output: &mut event::ReducerOutput,
+) {
+    let gossip = gossip_header(state);
     send(output, to, wire::MembershipMessage::Alive(gossip));
 }
 
-/// A process that knows no control asks one for members, first at once and then with jitter. One that
-/// knows only others that have just started as well goes on: alone they would be an island.
+/// Asks a control for members while no control is known: at once, then with jittered pauses.
+/// Knowing other nodes does not end this, since processes that started together would otherwise
+/// form an island.
 fn join(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let timers = &state.membership.timers;
     let knows_control = state.membership.controls().next().is_some();
@@ -180,26 +190,26 @@
     }
     let own = state.settings.identity.address;
     let control = state.settings.control.iter().copied();
-    let mut asked: Vec<SocketAddr> = control.filter(|address| *address != own).collect();
-    if asked.len() > 1 {
-        asked.retain(|address| Some(*address) != timers.last_joined);
+    let mut candidates: Vec<SocketAddr> = control.filter(|address| *address != own).collect();
+    if candidates.len() > 1 {
+        candidates.retain(|address| Some(*address) != timers.last_asked_control);
     }
-    let longest = settings::millis(state.settings.tunables.membership.heal_ms) / 4;
-    let pause = (timers.join_pause * 2).clamp(FIRST_JOIN_PAUSE.min(longest), longest);
+    let max_pause = settings::millis(state.settings.tunables.membership.heal_ms) / 4;
+    let pause = (timers.join_pause * 2).clamp(INITIAL_JOIN_PAUSE.min(max_pause), max_pause);
     let next_join = state.now + jittered(state, pause);
-    let chosen = asked.into_iter().choose(&mut state.random);
+    let chosen = candidates.into_iter().choose(&mut state.random);
     let timers = &mut state.membership.timers;
     timers.join_pause = pause;
     timers.next_join = next_join;
-    timers.last_joined = chosen;
+    timers.last_asked_control = chosen;
     if let Some(to) = chosen {
         let record = state.membership.own.clone();
         send(output, to, wire::MembershipMessage::Join(record));
     }
 }
 
-/// Tries one process that does not answer, or one control that is not known, so that parts of the
-/// fleet that lost each other meet again.
+/// Probes one unreachable member, or asks one control that is not a known member to let this
+/// process join, so that separated parts of the fleet find each other again.
 fn heal(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     if state.now < state.membership.timers.next_heal {
         return;
@@ -207,8 +217,9 @@
     let is_first = state.membership.timers.next_heal == time::MonotonicTime::default();
     let mut period = settings::millis(state.settings.tunables.membership.heal_ms);
     if state.settings.identity.is_control {
-        // Whoever met at one control is apart from the others until the controls have met.
-        period = paced(state, period);
+        // Processes that joined through one control are separated from the rest until the controls
+        // have found each other.
+        period = startup_paced(state, period);
     }
     state.membership.timers.next_heal = state.now + jittered(state, period);
     if is_first {
@@ -220,7 +231,7 @@
         .filter(|member| member.is_unreachable());
     if let Some(member) = unreachable.choose(&mut state.random) {
         let identity = member.record.identity.clone();
-        let mut gossip = outline(state);
+        let mut gossip = gossip_header(state);
         gossip
             .suspicions
             .extend(reach::suspicion_of(state, &identity.instance));
@@ -228,75 +239,76 @@
         return send(output, identity.address, probe);
     }
     let own = state.settings.identity.address;
-    let is_strange = |address: &SocketAddr| {
+    let is_unknown = |address: &SocketAddr| {
         let mut members = state.membership.others();
         *address != own && !members.any(|member| member.record.identity.address == *address)
     };
     let control = state.settings.control.iter().copied();
-    if let Some(to) = control.filter(is_strange).choose(&mut state.random) {
+    if let Some(to) = control.filter(is_unknown).choose(&mut state.random) {
         let record = state.membership.own.clone();
         send(output, to, wire::MembershipMessage::Join(record));
     }
 }
 
-/// Takes gossip.
-pub fn take(
+/// Handles a gossip message.
+pub fn handle_gossip(
     state: &mut reducer::EngineState,
     from: &wire::PeerIdentity,
     gossip: wire::GossipMessage,
     output: &mut event::ReducerOutput,
 ) {
-    reach::take_ages(state, &gossip.ages);
-    take_news(state, from.address, gossip.records, output);
+    reach::merge_ages(state, &gossip.ages);
+    apply_records(state, from.address, gossip.records, output);
     for suspicion in gossip.suspicions {
-        reach::take_suspicion(state, suspicion);
+        reach::apply_suspicion(state, suspicion);
     }
     dissemination::observe_version(state, from, gossip.held);
     if gossip.table != state.membership.table_digest() {
-        sync::begin(state, &[from.address], output);
+        sync::start(state, &[from.address], output);
     }
 }
 
-/// Takes records, and sends back what is newer here.
-pub fn take_news(
+/// Applies records, and returns to the sender those that are newer here.
+pub fn apply_records(
     state: &mut reducer::EngineState,
     from: SocketAddr,
     records: Vec<wire::MemberRecord>,
     output: &mut event::ReducerOutput,
 ) {
-    let mut newer = Vec::new();
+    let mut newer_here = Vec::new();
     for record in records {
         let name = record.identity.instance.clone();
-        if table::take(state, record) == table::RecordNews::Older {
-            newer.extend(state.membership.record(&name).cloned());
+        if table::apply(state, record) == table::RecordOutcome::Older {
+            newer_here.extend(state.membership.record(&name).cloned());
         }
     }
-    if !newer.is_empty() {
-        send(output, from, wire::MembershipMessage::Records(newer));
+    if !newer_here.is_empty() {
+        send(output, from, wire::MembershipMessage::Records(newer_here));
     }
 }
 
-/// Takes records that came by synchronization: many are not news for others, who synchronize too.
-pub fn take_quietly(
+/// Applies records received by synchronization. A large batch is not spread as rumours, since the
+/// other members synchronize too.
+pub fn apply_synced_records(
     state: &mut reducer::EngineState,
     from: SocketAddr,
     records: Vec<wire::MemberRecord>,
     output: &mut event::ReducerOutput,
 ) {
-    let is_news = records.len() <= FEW_RECORDS;
-    let before = state.membership.rumours.clone();
-    take_news(state, from, records, output);
-    if !is_news {
-        state.membership.rumours = before;
+    let is_small_batch = records.len() <= MAX_SYNC_NEWS;
+    let rumours_before = state.membership.rumours.clone();
+    apply_records(state, from, records, output);
+    if !is_small_batch {
+        state.membership.rumours = rumours_before;
     }
 }
 
-/// Answers a process that knows nobody: members of its own data centre before this process, so
-/// that a herd that comes back does not learn everything from a control. Processes that asked lately
-/// stand in where too few members are known; they may have stopped or know nobody, so that this
-/// process names itself beside them. The process's record is not taken here: it spreads it itself once
-/// it has partners.
-pub fn introduce(
+/// Answers a process that joins with members of its data centre, so that many processes returning
+/// at once do not load everything from a control. If too few such members are known, processes that
+/// joined recently are named as well. These may have stopped or know nobody, so this process adds
+/// its own address. The joining process's record is not applied here: it spreads the record itself
+/// once it has partners.
+pub fn answer_join(
     state: &mut reducer::EngineState,
     record: wire::MemberRecord,
     output: &mut event::ReducerOutput,
@@ -305,47 +317,51 @@
     let known = state.membership.others();
     let known = known.filter(|member| !member.is_unreachable());
     let known = known.map(|member| &member.record);
-    let mut addresses = neighbours_of(&joining, known, INTRODUCED, &mut state.random);
-    if addresses.len() < INTRODUCED {
-        let missing = INTRODUCED - addresses.len();
-        let joined = state.membership.timers.joined.iter();
-        let joined = neighbours_of(&joining, joined, missing, &mut state.random);
-        addresses.extend(joined);
+    let mut addresses = sample_same_centre(&joining, known, INTRODUCED_MEMBERS, &mut state.random);
+    if addresses.len() < INTRODUCED_MEMBERS {
+        let missing_count = INTRODUCED_MEMBERS - addresses.len();
+        let recent_joins = state.membership.timers.recent_joins.iter();
+        let recent_joins =
+            sample_same_centre(&joining, recent_joins, missing_count, &mut state.random);
+        addresses.extend(recent_joins);
         addresses.push(state.settings.identity.address);
         addresses.sort_unstable();
         addresses.dedup();
     }
-    let joined = &mut state.membership.timers.joined;
-    joined.retain(|earlier| earlier.identity.instance != joining.instance);
-    joined.push_back(record);
-    if joined.len() > JOINED {
-        joined.pop_front();
+    let recent_joins = &mut state.membership.timers.recent_joins;
+    recent_joins.retain(|previous| previous.identity.instance != joining.instance);
+    recent_joins.push_back(record);
+    if recent_joins.len() > MAX_RECENT_JOINS {
+        recent_joins.pop_front();
     }
     let message = wire::MembershipMessage::Introduction(addresses);
     send(output, joining.address, message);
 }
 
-/// Addresses of some of these processes that are in the same data centre as one that starts.
-fn neighbours_of<'a>(
+/// Returns the addresses of a random sample of the processes in the same data centre as a joining
+/// one.
+fn sample_same_centre<'a>(
     joining: &wire::PeerIdentity,
     records: impl Iterator<Item = &'a wire::MemberRecord>,
     count: usize,
     random: &mut ChaCha8Rng,
 ) -> Vec<SocketAddr> {
     let identities = records.map(|record| &record.identity);
-    let near = identities.filter(|near| {
-        near.data_centre == joining.data_centre && near.instance != joining.instance
+    let local = identities.filter(|identity| {
+        identity.data_centre == joining.data_centre && identity.instance != joining.instance
     });
-    let chosen = near.sample(random, count);
-    chosen.iter().map(|near| near.address).collect()
+    let chosen = local.sample(random, count);
+    chosen.iter().map(|identity| identity.address).collect()
 }
 
-/// Asks some of the members that it was told of for all that they know.
-pub fn take_introduction(
+/// Starts a synchronization with some of the members named in an introduction.
+pub fn handle_introduction(
     state: &mut reducer::EngineState,
     addresses: Vec<SocketAddr>,
     output: &mut event::ReducerOutput,
 ) {
-    let chosen = addresses.into_iter().sample(&mut state.random, ASKED);
-    sync::begin(state, &chosen, output);
+    let chosen = addresses
+        .into_iter()
+        .sample(&mut state.random, INITIAL_SYNC_PEERS);
+    sync::start(state, &chosen, output);
 }
--- a/crates/engine/src/membership/own.rs
+++ b/crates/engine/src/membership/own.rs
@@ -1,4 +1,5 @@
-//! This process's own record: its targets, its leaving, and its standing against older copies.
+//! This process's own record: its targets, its departure, and conflicts with copies of the record
+//! that exist elsewhere.
 
 use hazeltiller_units::{ids, time};
 use hazeltiller_wire::membership as wire;
@@ -6,15 +7,15 @@
 use crate::{calls, event, membership, reducer, settings, timeline};
 
 impl membership::MembershipState {
-    /// Changes the own record and spreads it.
+    /// Changes the own record and schedules it as a rumour.
     pub fn publish(
         &mut self,
         change: impl FnOnce(&mut hazeltiller_wire::membership::MemberRecord),
     ) {
-        self.toggle_own();
+        self.toggle_own_digest();
         change(&mut self.own);
         self.own.sequence += 1;
-        self.toggle_own();
+        self.toggle_own_digest();
         self.revision += 1;
         self.rumours.insert(self.own.identity.instance.clone());
     }
@@ -26,21 +27,24 @@
     }
 }
 
-/// First announcements of a target: one with a larger number that is the first to be heard may
-/// have been held up since before another target took the address.
-const FIRST_SEQUENCES: u64 = 2;
+/// Highest sequence number with which an unknown target may take over an address. A first
+/// announcement with a higher number may have been delayed since before another target took the
+/// address.
+const MAX_INITIAL_SEQUENCE: u64 = 2;
 
-/// A target that left.
+/// A target that was removed from this node.
 #[derive(Debug, Clone, Copy)]
-pub struct DepartedTarget {
-    /// Its last life.
+pub struct RemovedTarget {
+    /// The last incarnation of the target.
     incarnation: ids::IncarnationNumber,
-    /// Announcements of that life up to this number are older than its leaving; absent: all of them are.
+    /// Announcements of that incarnation up to this sequence number were sent before the removal.
+    /// `None` if all of its numbered announcements were.
     sequence: Option<u64>,
-    until: time::MonotonicTime,
+    expires_at: time::MonotonicTime,
 }
 
-/// Takes a target's announcement; only what differs from the last one is published.
+/// Handles a target's announcement. The own record is published only if the target's description
+/// changed.
 pub fn announce(
     state: &mut reducer::EngineState,
     announcement: membership::TargetAnnouncement,
@@ -53,7 +57,7 @@
             service: record.service,
         });
     }
-    if is_outdated(state, &announcement) {
+    if is_stale(state, &announcement) {
         let record = announcement.record;
         return output.note(timeline::TimelineEvent::AnnouncementOutdated {
             target: record.name,
@@ -61,20 +65,23 @@
             sequence: announcement.sequence.unwrap_or_default(),
         });
     }
-    let lapses = state.now + announcement.lease;
+    let lease_expires_at = state.now + announcement.lease;
     let (record, sequence) = (announcement.record, announcement.sequence);
     let name = record.name.clone();
     if sequence.is_some() {
-        give_way(state, &record, output);
+        remove_displaced(state, &record, output);
     }
     let known = state.membership.targets.get(&name);
     let is_restart = known.is_some_and(|known| known.record.incarnation < record.incarnation);
-    let is_news = known.is_none_or(|known| known.record != record);
-    // Each announcement tells the time left; the earliest end holds within a life.
-    let told_warm = state.now + announcement.warm_up_left;
+    let has_changed = known.is_none_or(|known| known.record != record);
+    // Each announcement gives the remaining warm-up time; within an incarnation the earliest end is
+    // kept.
+    let announced_warm_at = state.now + announcement.warm_up_left;
     let warm_at = known
         .filter(|_| !is_restart)
-        .map_or(told_warm, |known| known.warm_at.min(told_warm));
+        .map_or(announced_warm_at, |known| {
+            known.warm_at.min(announced_warm_at)
+        });
     let is_ready = record.state == wire::TargetState::Ready;
     if is_restart {
         output.note(timeline::TimelineEvent::TargetRestarted {
@@ -83,7 +90,7 @@
         });
         calls::end_life(state, &name, output);
     }
-    if is_news {
+    if has_changed {
         output.note(timeline::TimelineEvent::TargetAnnounced {
             target: name.clone(),
             service: record.service.clone(),
@@ -92,12 +99,12 @@
     }
     let target = membership::OwnTarget {
         record,
-        lapses,
+        lease_expires_at,
         sequence,
         warm_at,
     };
     state.membership.targets.insert(name.clone(), target);
-    if is_news {
+    if has_changed {
         state.membership.publish_targets();
     }
     if !is_ready {
@@ -105,8 +112,8 @@
     }
 }
 
-/// Whether an announcement is none of this node's target: it names a service that the catalogue lacks,
-/// and the name or the address of one whose service the catalogue has.
+/// Returns whether an announcement does not come from one of this node's targets: it names a
+/// service that is not in the catalogue, but the name or address of a target whose service is.
 fn is_foreign(state: &reducer::EngineState, record: &wire::TargetRecord) -> bool {
     let catalogue = &state.dissemination.in_force;
     let is_known = |service| catalogue.service(service).is_some();
@@ -119,53 +126,55 @@
         })
 }
 
-/// Whether an announcement was held up on the way: something later is known already. The life decides
-/// before the number, which begins anew with each life. A life whose lease has lapsed binds nobody, so
-/// that a target whose clock stepped back is taken again after that time.
-fn is_outdated(
-    state: &reducer::EngineState,
-    announcement: &membership::TargetAnnouncement,
-) -> bool {
+/// Returns whether an announcement was delayed and something later is already known. Incarnations
+/// are compared before sequence numbers, which restart with each incarnation. Once the lease of an
+/// incarnation has expired it no longer takes part, so that a target whose clock was set back is
+/// accepted again after that time.
+fn is_stale(state: &reducer::EngineState, announcement: &membership::TargetAnnouncement) -> bool {
     let record = &announcement.record;
-    let life = record.incarnation;
+    let incarnation = record.incarnation;
     if let Some(known) = state.membership.targets.get(&record.name) {
-        let last = known.record.incarnation;
-        let is_late = || is_up_to(announcement.sequence, known.sequence);
-        return life < last || life == last && is_late();
+        let latest = known.record.incarnation;
+        let is_delayed = || is_not_after(announcement.sequence, known.sequence);
+        return incarnation < latest || incarnation == latest && is_delayed();
     }
-    if let Some(departed) = state.membership.departed.get(&record.name)
-        && departed.until > state.now
+    if let Some(removed) = state.membership.removed.get(&record.name)
+        && removed.expires_at > state.now
     {
-        let is_late = || match departed.sequence {
+        let is_delayed = || match removed.sequence {
             None => announcement.sequence.is_some(),
-            last => is_up_to(announcement.sequence, last),
+            latest => is_not_after(announcement.sequence, latest),
         };
-        return life < departed.incarnation || life == departed.incarnation && is_late();
+        return incarnation < removed.incarnation
+            || incarnation == removed.incarnation && is_delayed();
     }
     let others = state.membership.targets.values();
     let mut others = others.filter(|other| other.record.address == record.address);
     others.any(|other| {
-        let taken = other.record.incarnation;
-        let are_told = [life, taken].iter().all(|life| life.0 > 0);
-        if are_told {
-            life < taken
+        let other_incarnation = other.record.incarnation;
+        let are_both_known = [incarnation, other_incarnation]
+            .iter()
+            .all(|incarnation| incarnation.0 > 0);
+        if are_both_known {
+            incarnation < other_incarnation
         } else {
             announcement
                 .sequence
-                .is_some_and(|sequence| sequence > FIRST_SEQUENCES)
+                .is_some_and(|sequence| sequence > MAX_INITIAL_SEQUENCE)
         }
     })
 }
 
-/// Whether an announcement is not above the last one of its life, where both are counted.
-fn is_up_to(sequence: Option<u64>, last: Option<u64>) -> bool {
+/// Returns whether an announcement is not later than the latest one of the same incarnation; false
+/// if one of them is not numbered.
+fn is_not_after(sequence: Option<u64>, latest: Option<u64>) -> bool {
     sequence
-        .zip(last)
-        .is_some_and(|(sequence, last)| sequence <= last)
+        .zip(latest)
+        .is_some_and(|(sequence, latest)| sequence <= latest)
 }
 
-/// Ends every other target at the address of one that has just started there.
-fn give_way(
+/// Withdraws every other target at the address of one that has started there.
+fn remove_displaced(
     state: &mut reducer::EngineState,
     record: &wire::TargetRecord,
     output: &mut event::ReducerOutput,
@@ -177,22 +186,24 @@
         .map(|other| other.name.clone())
         .collect();
     for name in displaced {
-        depart(state, &name, output);
+        withdraw_permanently(state, &name, output);
     }
 }
 
-/// Withdraws a target for good: announcements of it that are still on their way count no more.
-pub fn depart(
+/// Withdraws a target that deregistered or was displaced. Delayed announcements of the same
+/// incarnation are ignored.
+pub fn withdraw_permanently(
     state: &mut reducer::EngineState,
     name: &ids::TargetName,
     output: &mut event::ReducerOutput,
 ) {
-    remember(state, name, None);
+    record_removal(state, name, None);
     withdraw(state, name, output);
 }
 
-/// Withdraws a target whose address another one has; a later announcement brings it back.
-pub fn misplace(
+/// Withdraws a target whose address is used by another one. A later announcement registers it
+/// again.
+pub fn withdraw_wrong_target(
     state: &mut reducer::EngineState,
     name: &ids::TargetName,
     output: &mut event::ReducerOutput,
@@ -200,24 +211,24 @@
     if let Some(target) = state.membership.targets.get(name)
         && let Some(sequence) = target.sequence
     {
-        remember(state, name, Some(sequence));
+        record_removal(state, name, Some(sequence));
     }
     withdraw(state, name, output);
 }
 
-fn remember(state: &mut reducer::EngineState, name: &ids::TargetName, sequence: Option<u64>) {
+fn record_removal(state: &mut reducer::EngineState, name: &ids::TargetName, sequence: Option<u64>) {
     let now = state.now;
-    let kept = settings::millis(state.settings.tunables.membership.departed_ms);
-    let until = now + kept;
-    let departed = &mut state.membership.departed;
-    departed.retain(|_, departed| departed.until > now);
+    let retention = settings::millis(state.settings.tunables.membership.departed_ms);
+    let expires_at = now + retention;
+    let removed = &mut state.membership.removed;
+    removed.retain(|_, removed| removed.expires_at > now);
     let known = state.membership.targets.get(name);
-    let record = DepartedTarget {
+    let record = RemovedTarget {
         incarnation: known.map_or_else(Default::default, |known| known.record.incarnation),
         sequence,
-        until,
+        expires_at,
     };
-    departed.insert(name.clone(), record);
+    removed.insert(name.clone(), record);
 }
 
 /// Withdraws a target.
@@ -234,43 +245,43 @@
     }
 }
 
-/// Withdraws the targets whose leases have lapsed.
-pub fn withdraw_lapsed(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
+/// Withdraws the targets whose leases have expired.
+pub fn withdraw_expired(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let now = state.now;
-    let lapsed: Vec<ids::TargetName> = state
+    let expired: Vec<ids::TargetName> = state
         .membership
         .targets
         .iter()
-        .filter(|(_, target)| target.lapses <= now)
+        .filter(|(_, target)| target.lease_expires_at <= now)
         .map(|(name, _)| name.clone())
         .collect();
-    for name in lapsed {
+    for name in expired {
         withdraw(state, &name, output);
     }
 }
 
-/// Says that this process leaves, to its partners at once.
+/// Announces to the partners at once that this process leaves.
 pub fn leave(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     state.membership.publish(|own| own.has_left = true);
     membership::gossip::send_rumours(state, output);
 }
 
-/// Answers a suspicion of this process by a newer record.
+/// Refutes a suspicion of this process by publishing a newer record.
 pub fn refute(state: &mut reducer::EngineState) {
     state.membership.publish(|_unchanged| {});
 }
 
-/// Takes a copy of the own record: one that is newer is from an earlier life whose clock was
-/// ahead, so this life's incarnation is put above it.
-pub fn take_copy(
+/// Handles a copy of the own record. A newer copy stems from an earlier run of this process whose
+/// clock was ahead, so the own incarnation is raised above it.
+pub fn apply_own_copy(
     state: &mut reducer::EngineState,
     copy: &hazeltiller_wire::membership::MemberRecord,
 ) {
     let own = &state.membership.own;
     let is_newer =
         (copy.identity.incarnation, copy.sequence) > (own.identity.incarnation, own.sequence);
-    let is_other = copy.identity.incarnation == own.identity.incarnation && copy != own;
-    if is_newer || is_other && copy.sequence == own.sequence {
+    let is_conflicting = copy.identity.incarnation == own.identity.incarnation && copy != own;
+    if is_newer || is_conflicting && copy.sequence == own.sequence {
         let incarnation = copy.identity.incarnation.next();
         state
             .membership
--- a/crates/engine/src/membership/partners.rs
+++ b/crates/engine/src/membership/partners.rs
@@ -1,10 +1,11 @@
-//! Whom a process gossips with.
+//! Selection of gossip partners.
 //!
-//! Within a data centre the members stand on a few rings, each ordered by another hash of their
-//! names, and a member's partners are its successors: any two views that agree on the members
-//! agree on the rings, each member has as many partners as there are rings, and together the
-//! rings reach everybody in a number of steps that grows with the logarithm of the size. Between
-//! two data centres two members of each that a hash picks are partners, one with one.
+//! Within a data centre the members are arranged on several rings, each ordered by a different hash
+//! of their names, and a member's partners are its successors on the rings. Processes that agree on
+//! the members therefore agree on the rings; each member has as many partners as there are rings;
+//! and together the rings reach all members in a number of steps logarithmic in their number.
+//! Between two data centres, `BRIDGES_PER_CENTRE` members on each side, selected by hash, are
+//! paired one to one.
 
 use std::net::SocketAddr;
 
@@ -17,15 +18,15 @@
     reducer,
 };
 
-/// Members of a data centre that hold its links to another one.
-const BRIDGES: usize = 2;
+/// Number of members of a data centre that gossip with each other data centre.
+const BRIDGES_PER_CENTRE: usize = 2;
 
-/// The partners of a process.
+/// The gossip partners of a process.
 #[derive(Debug, Clone)]
 pub struct PartnerSet {
-    /// Their peers addresses by name.
+    /// Peer addresses of the partners, by name.
     pub partners: IndexMap<ids::InstanceName, SocketAddr>,
-    /// Whether members came or went since they were chosen.
+    /// Whether the members changed since the partners were selected.
     pub is_stale: bool,
 }
 
@@ -38,13 +39,13 @@
     }
 }
 
-/// Chooses the partners anew if the members changed.
+/// Selects the partners again if the members changed.
 pub fn refresh(state: &mut reducer::EngineState) {
     if !state.membership.partners.is_stale {
         return;
     }
-    let rings = state.settings.tunables.membership.gossip_fan_out;
-    let partners = choose(&state.membership, rings);
+    let ring_count = state.settings.tunables.membership.gossip_fan_out;
+    let partners = choose(&state.membership, ring_count);
     state.membership.partners = PartnerSet {
         partners,
         is_stale: false,
@@ -53,55 +54,58 @@
 
 fn choose(
     membership: &membership::MembershipState,
-    rings: u64,
+    ring_count: u64,
 ) -> IndexMap<ids::InstanceName, SocketAddr> {
     let own = &membership.own.identity;
     let own_digest = table::name_digest(own.instance.as_str());
-    let usable = || {
+    let reachable_members = || {
         membership
             .others()
             .filter(|member| !member.is_unreachable())
     };
-    let neighbours: Vec<&table::KnownMember> = usable()
+    let local_members: Vec<&table::KnownMember> = reachable_members()
         .filter(|member| member.record.identity.data_centre == own.data_centre)
         .collect();
     let mut chosen: Vec<&wire::PeerIdentity> = Vec::new();
-    for ring in 0..rings {
-        let place = |digest: wire::ShortDigest| table::mix(digest.0 ^ table::mix(ring));
-        let start = place(own_digest);
-        let successor = neighbours
+    for ring in 0..ring_count {
+        let ring_position = |digest: wire::ShortDigest| table::mix(digest.0 ^ table::mix(ring));
+        let start = ring_position(own_digest);
+        let successor = local_members
             .iter()
-            .min_by_key(|member| place(member.digest).wrapping_sub(start));
+            .min_by_key(|member| ring_position(member.digest).wrapping_sub(start));
         chosen.extend(successor.map(|member| &member.record.identity));
     }
-    let foreign: IndexSet<&ids::DataCentreName> = usable()
+    let remote_centres: IndexSet<&ids::DataCentreName> = reachable_members()
         .map(|member| &member.record.identity.data_centre)
-        .filter(|centre| **centre != own.data_centre)
+        .filter(|data_centre| **data_centre != own.data_centre)
         .collect();
-    for centre in foreign {
-        let towards = u64::from(table::centre_digest(centre));
-        let own_rank = table::mix(own_digest.0 ^ towards);
+    for data_centre in remote_centres {
+        let remote_seed = u64::from(table::centre_digest(data_centre));
+        let own_rank = table::mix(own_digest.0 ^ remote_seed);
         let own_rank = (!own.is_node, own_rank);
         let rank = |member: &&&table::KnownMember| {
-            let is_last = !member.record.identity.is_node;
-            (is_last, table::mix(member.digest.0 ^ towards))
+            let is_control_only = !member.record.identity.is_node;
+            (is_control_only, table::mix(member.digest.0 ^ remote_seed))
         };
-        let before = neighbours.iter().filter(|member| rank(member) < own_rank);
-        let place = before.count();
-        if place >= BRIDGES {
+        let higher_ranked = local_members
+            .iter()
+            .filter(|member| rank(member) < own_rank);
+        let own_place = higher_ranked.count();
+        if own_place >= BRIDGES_PER_CENTRE {
             continue;
         }
-        let back = u64::from(table::centre_digest(&own.data_centre));
-        let mut others: Vec<&table::KnownMember> = usable()
-            .filter(|member| member.record.identity.data_centre == *centre)
+        let local_seed = u64::from(table::centre_digest(&own.data_centre));
+        let mut remote_members: Vec<&table::KnownMember> = reachable_members()
+            .filter(|member| member.record.identity.data_centre == *data_centre)
             .collect();
-        others.sort_by_key(|member| {
-            let is_last = !member.record.identity.is_node;
-            (is_last, table::mix(member.digest.0 ^ back))
+        remote_members.sort_by_key(|member| {
+            let is_control_only = !member.record.identity.is_node;
+            (is_control_only, table::mix(member.digest.0 ^ local_seed))
         });
-        // Where the other side has fewer bridges, they have more than one partner here.
-        let bridges = others.len().min(BRIDGES);
-        let bridge = others.get(place.checked_rem(bridges).unwrap_or_default());
+        // If the other side has fewer bridges than this one, each of them has several partners
+        // here.
+        let bridge_count = remote_members.len().min(BRIDGES_PER_CENTRE);
+        let bridge = remote_members.get(own_place.checked_rem(bridge_count).unwrap_or_default());
         chosen.extend(bridge.map(|member| &member.record.identity));
     }
     chosen
--- a/crates/engine/src/membership/reach.rs
+++ b/crates/engine/src/membership/reach.rs
@@ -1,9 +1,11 @@
-//! Who answers: suspicion with refutation for single members, age for whole data centres.
+//! Reachability: suspicion and refutation for single members, time since the last contact for whole
+//! data centres.
 //!
-//! Whoever misses a partner's answer suspects it aloud. The suspected one refutes by a newer
-//! record, so one slow link ejects nobody; only without a refutation is it taken to be
-//! unreachable, which is not the same as gone. A data centre that nothing has come from, directly
-//! or through others, is unreachable as a whole, without a word on each of its members.
+//! A process that gets no answer from a partner spreads a suspicion. The suspected member refutes
+//! it with a newer record, so that one slow link does not eject it. Without a refutation it is
+//! considered unreachable, which does not mean that it left the fleet. A data centre from which
+//! nothing was heard, directly or through others, is unreachable as a whole, without separate
+//! suspicions of its members.
 
 use std::time::Duration;
 
@@ -20,16 +22,16 @@
 /// Whether calls can be sent to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reachability {
-    /// As far as is known.
+    /// Nothing contradicts that the member answers.
     Reachable,
-    /// Somebody did not hear from it; it has time to refute.
+    /// Some process got no answer from the member, which still has time to refute that.
     Suspected,
-    /// It did not refute, or nothing comes from its data centre.
+    /// The member did not refute a suspicion, or nothing was heard from its data centre.
     Unreachable,
 }
 
 impl Reachability {
-    /// The word in status.
+    /// Returns the name used in status documents.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Reachable => "reachable",
@@ -40,7 +42,7 @@
 }
 
 impl membership::MembershipState {
-    /// Whether a member can be reached; `Unreachable` when it is not known.
+    /// Returns the reachability of a member; `Unreachable` if the member is not known.
     pub fn reachability(&self, name: &ids::InstanceName) -> Reachability {
         if *name == self.own.identity.instance {
             return Reachability::Reachable;
@@ -48,29 +50,35 @@
         let Some(member) = self.members.get(name) else {
             return Reachability::Unreachable;
         };
-        if self.silent.contains(&member.record.identity.data_centre) {
+        if self
+            .silent_centres
+            .contains(&member.record.identity.data_centre)
+        {
             return Reachability::Unreachable;
         }
-        match member.silence {
-            table::MemberSilence::Answers => Reachability::Reachable,
-            table::MemberSilence::Suspected(_) => Reachability::Suspected,
-            table::MemberSilence::Unreachable(_) => Reachability::Unreachable,
+        match member.status {
+            table::MemberStatus::Alive => Reachability::Reachable,
+            table::MemberStatus::Suspected(_) => Reachability::Suspected,
+            table::MemberStatus::Unreachable(_) => Reachability::Unreachable,
         }
     }
 
-    /// Data centres that nothing has come from for so long that they count as cut off.
+    /// Returns the data centres that count as partitioned, since nothing was heard from them for
+    /// too long.
     pub fn silent_centres(&self) -> impl Iterator<Item = &ids::DataCentreName> {
-        self.silent.iter()
+        self.silent_centres.iter()
     }
 }
 
-/// Finds the silent data centres.
-fn judge_centres(state: &mut reducer::EngineState) {
+/// Determines which data centres are silent.
+fn update_silent_centres(state: &mut reducer::EngineState) {
     let limit = settings::millis(state.settings.tunables.membership.centre_silence_ms);
     let own = &state.settings.identity.data_centre;
     let membership = &state.membership;
     let is_silent = |centre: &&ids::DataCentreName| {
-        let last = membership.centres.get(&table::centre_digest(centre));
+        let last = membership
+            .centre_contacts
+            .get(&table::centre_digest(centre));
         *centre != own && last.is_some_and(|last| state.now.since(*last) > limit)
     };
     let records = membership.others().map(|member| &member.record);
@@ -78,33 +86,37 @@
         records.map(|record| &record.identity.data_centre).collect();
     let silent: IndexSet<ids::DataCentreName> =
         centres.into_iter().filter(is_silent).cloned().collect();
-    if silent != state.membership.silent {
-        state.membership.silent = silent;
+    if silent != state.membership.silent_centres {
+        state.membership.silent_centres = silent;
         state.membership.revision += 1;
     }
 }
 
-/// Notes that something came from a peer.
-pub fn heard(state: &mut reducer::EngineState, from: &wire::PeerIdentity) {
+/// Records that a message came from a peer.
+pub fn record_contact(state: &mut reducer::EngineState, from: &wire::PeerIdentity) {
     let now = state.now;
     let centre = table::centre_digest(&from.data_centre);
-    state.membership.centres.insert(centre, now);
+    state.membership.centre_contacts.insert(centre, now);
     let Some(member) = state.membership.members.get_mut(&from.instance) else {
         return;
     };
-    member.heard = Some(now);
-    state.membership.timers.probed.swap_remove(&from.instance);
-    if member.silence != table::MemberSilence::Answers {
-        member.silence = table::MemberSilence::Answers;
+    member.last_heard = Some(now);
+    state
+        .membership
+        .timers
+        .unanswered_probes
+        .swap_remove(&from.instance);
+    if member.status != table::MemberStatus::Alive {
+        member.status = table::MemberStatus::Alive;
         state.membership.partners.is_stale = true;
         state.membership.revision += 1;
     }
 }
 
-/// How long ago each data centre was heard from.
+/// Returns the time since each other data centre was last heard from.
 pub fn ages(state: &reducer::EngineState) -> Vec<wire::CentreAge> {
     let own = table::centre_digest(&state.settings.identity.data_centre);
-    let centres = state.membership.centres.iter();
+    let centres = state.membership.centre_contacts.iter();
     centres
         .filter(|(centre, _)| **centre != own)
         .map(|(centre, last)| wire::CentreAge {
@@ -114,23 +126,27 @@
         .collect()
 }
 
-/// Takes what a peer says of data centres; its own is fresh by its message itself.
-pub fn take_ages(state: &mut reducer::EngineState, ages: &[wire::CentreAge]) {
+/// Merges a peer's times since the last contact with data centres. The own data centre is skipped.
+pub fn merge_ages(state: &mut reducer::EngineState, ages: &[wire::CentreAge]) {
     let own = table::centre_digest(&state.settings.identity.data_centre);
     for age in ages.iter().filter(|age| age.centre != own) {
-        let back = Duration::from_millis(u64::from(age.age_ms)).as_micros() as u64;
-        let last = time::MonotonicTime(state.now.0.saturating_sub(back));
-        let known = state.membership.centres.entry(age.centre).or_insert(last);
-        *known = (*known).max(last);
+        let age_us = Duration::from_millis(u64::from(age.age_ms)).as_micros() as u64;
+        let last = time::MonotonicTime(state.now.0.saturating_sub(age_us));
+        let latest = state
+            .membership
+            .centre_contacts
+            .entry(age.centre)
+            .or_insert(last);
+        *latest = (*latest).max(last);
     }
 }
 
-/// Takes a suspicion: of this process it is refuted, of another it is noted and passed on.
-pub fn take_suspicion(state: &mut reducer::EngineState, suspicion: wire::MemberSuspicion) {
+/// Handles a suspicion: refutes one of this process, records and spreads one of another member.
+pub fn apply_suspicion(state: &mut reducer::EngineState, suspicion: wire::MemberSuspicion) {
     let own = &state.membership.own;
     if suspicion.instance == own.identity.instance {
         let suspected = (suspicion.incarnation, suspicion.sequence);
-        if !own.has_left && suspected >= table::age(own) {
+        if !own.has_left && suspected >= table::record_version(own) {
             membership::own::refute(state);
         }
         return;
@@ -139,37 +155,38 @@
     let Some(member) = state.membership.members.get_mut(&suspicion.instance) else {
         return;
     };
-    let is_news = member.silence == table::MemberSilence::Answers;
-    if is_news && member.is_copy(suspicion.incarnation, suspicion.sequence) {
-        member.silence = table::MemberSilence::Suspected(now);
+    let is_alive = member.status == table::MemberStatus::Alive;
+    if is_alive && member.is_copy(suspicion.incarnation, suspicion.sequence) {
+        member.status = table::MemberStatus::Suspected(now);
         let name = suspicion.instance.clone();
         state.membership.suspicions.insert(name, suspicion);
         state.membership.revision += 1;
     }
 }
 
-/// Suspects silent partners, gives up on suspects, forgets members that are long silent.
+/// Suspects silent partners, marks members unreachable that did not refute a suspicion in time, and
+/// forgets members that were unreachable for long.
 pub fn tick(state: &mut reducer::EngineState) {
-    suspect_silent(state);
-    if !state.membership.timers.is_due(state.now) {
+    suspect_silent_partners(state);
+    if !state.membership.timers.is_table_scan_due(state.now) {
         return;
     }
-    judge_centres(state);
+    update_silent_centres(state);
     let tunables = &state.settings.tunables.membership;
-    let confirm = settings::millis(tunables.confirm_ms);
-    let forget = settings::millis(tunables.forget_ms);
-    let tombstone = settings::millis(tunables.tombstone_ms);
+    let confirm_timeout = settings::millis(tunables.confirm_ms);
+    let forget_timeout = settings::millis(tunables.forget_ms);
+    let tombstone_time = settings::millis(tunables.tombstone_ms);
     let now = state.now;
     let mut forgotten = Vec::new();
     let mut has_changed = false;
     for (name, member) in &mut state.membership.members {
-        match member.silence {
-            table::MemberSilence::Suspected(since) if now.since(since) > confirm => {
-                member.silence = table::MemberSilence::Unreachable(now);
+        match member.status {
+            table::MemberStatus::Suspected(since) if now.since(since) > confirm_timeout => {
+                member.status = table::MemberStatus::Unreachable(now);
                 has_changed = true;
             }
-            table::MemberSilence::Unreachable(since)
-                if now.since(since) > forget && member.is_present() =>
+            table::MemberStatus::Unreachable(since)
+                if now.since(since) > forget_timeout && member.is_present() =>
             {
                 forgotten.push(name.clone());
             }
@@ -181,47 +198,45 @@
     for name in forgotten {
         state.membership.forget(&name);
     }
-    state
-        .membership
-        .members
-        .retain(|_, member| member.is_present() || now.since(member.taken) < forget + tombstone);
+    state.membership.members.retain(|_, member| {
+        member.is_present() || now.since(member.received_at) < forget_timeout + tombstone_time
+    });
 }
 
-fn suspect_silent(state: &mut reducer::EngineState) {
+fn suspect_silent_partners(state: &mut reducer::EngineState) {
     let limit = settings::millis(state.settings.tunables.membership.suspect_ms);
     let now = state.now;
     let silent: Vec<ids::InstanceName> = state
         .membership
         .timers
-        .probed
+        .unanswered_probes
         .iter()
         .filter(|(_, since)| now.since(**since) > limit)
         .map(|(name, _)| name.clone())
         .collect();
     for name in silent {
-        state.membership.timers.probed.swap_remove(&name);
+        state.membership.timers.unanswered_probes.swap_remove(&name);
         if let Some(suspicion) = suspicion_of(state, &name) {
-            take_suspicion(state, suspicion);
+            apply_suspicion(state, suspicion);
         }
     }
 }
 
-/// Some of the suspicions that are held, chosen anew each time, so that each is repeated.
-pub fn held_suspicions(
+/// Returns a random sample of the current suspicions, so that over time each is repeated.
+pub fn sample_suspicions(
     state: &mut reducer::EngineState,
     count: usize,
 ) -> Vec<wire::MemberSuspicion> {
     let members = state.membership.members.iter();
-    let suspects = members.filter(|(_, member)| {
-        member.is_present() && member.silence != table::MemberSilence::Answers
-    });
+    let suspects = members
+        .filter(|(_, member)| member.is_present() && member.status != table::MemberStatus::Alive);
     let names = suspects.map(|(name, _)| name.clone());
     let chosen = names.sample(&mut state.random, count);
     let suspicion = |name: &ids::InstanceName| suspicion_of(state, name);
     chosen.iter().filter_map(suspicion).collect()
 }
 
-/// A suspicion of the record that is held of a member.
+/// Returns a suspicion of the record held for a member.
 pub fn suspicion_of(
     state: &reducer::EngineState,
     name: &ids::InstanceName,
--- a/crates/engine/src/membership/sync.rs
+++ b/crates/engine/src/membership/sync.rs
@@ -1,8 +1,8 @@
-//! Finding what two tables differ in, a page at a time.
+//! Synchronization of member tables (anti-entropy), one page at a time.
 //!
-//! The digests of the buckets show where, the versions of a page of records show what, and only
-//! then records travel. A process that has just joined goes on page by page at once; in rest one
-//! page in a while is enough.
+//! Two processes first compare bucket digests, then the record versions in the buckets that differ,
+//! and only then transfer records. A process that has just joined requests page after page;
+//! otherwise a page every `sync_ms` is enough.
 
 use std::net::SocketAddr;
 
@@ -16,33 +16,33 @@
     reducer, settings,
 };
 
-/// Versions of records in one page, unless one bucket alone has more.
+/// Number of record versions from which a page is complete. A single bucket may hold more.
 const PAGE_VERSIONS: usize = 64;
-/// Records in one message.
-const PAGE_RECORDS: usize = 64;
+/// Maximum number of records in one message.
+const MAX_MESSAGE_RECORDS: usize = 64;
 
-/// The synchronization that goes on.
+/// The synchronization in progress.
 #[derive(Debug, Clone, Default)]
 pub struct SyncState {
-    begun: Option<time::MonotonicTime>,
-    more_at: Option<SocketAddr>,
+    last_started_at: Option<time::MonotonicTime>,
+    next_page_peer: Option<SocketAddr>,
 }
 
 fn send(output: &mut event::ReducerOutput, to: SocketAddr, message: wire::MembershipMessage) {
     output.send(to, message::PeerMessage::Membership(message));
 }
 
-/// Begins to compare tables with these peers, unless that was done a moment ago.
-pub fn begin(
+/// Starts comparing tables with some peers, unless the last start was less than `sync_ms` ago.
+pub fn start(
     state: &mut reducer::EngineState,
-    with: &[SocketAddr],
+    peers: &[SocketAddr],
     output: &mut event::ReducerOutput,
 ) {
     let pause = settings::millis(state.settings.tunables.membership.sync_ms);
-    let pause = gossip::paced(state, pause);
-    let begun = state.membership.sync.begun;
-    if begun.is_none_or(|begun| state.now.since(begun) >= pause) {
-        for peer in with {
+    let pause = gossip::startup_paced(state, pause);
+    let last_started_at = state.membership.sync.last_started_at;
+    if last_started_at.is_none_or(|last_started_at| state.now.since(last_started_at) >= pause) {
+        for peer in peers {
             send_buckets(state, *peer, output);
         }
     }
@@ -50,18 +50,18 @@
 
 fn send_buckets(
     state: &mut reducer::EngineState,
-    with: SocketAddr,
+    to: SocketAddr,
     output: &mut event::ReducerOutput,
 ) {
     state.membership.sync = SyncState {
-        begun: Some(state.now),
-        more_at: None,
+        last_started_at: Some(state.now),
+        next_page_peer: None,
     };
     let buckets = state.membership.buckets.clone();
-    send(output, with, wire::MembershipMessage::Buckets(buckets));
+    send(output, to, wire::MembershipMessage::Buckets(buckets));
 }
 
-/// Answers digests of buckets with the versions in those that differ.
+/// Answers bucket digests with the record versions in the first buckets that differ.
 pub fn compare_buckets(
     state: &reducer::EngineState,
     from: SocketAddr,
@@ -104,7 +104,8 @@
     send(output, from, wire::MembershipMessage::Versions(page));
 }
 
-/// Compares a page of versions: sends what is newer here, asks for what is newer there.
+/// Compares a page of record versions: sends the records that are newer here and requests those
+/// that are newer at the peer.
 pub fn compare_versions(
     state: &mut reducer::EngineState,
     from: SocketAddr,
@@ -122,10 +123,10 @@
         .chain(std::iter::once((own, &membership.own)))
         .collect();
     for version in &page.versions {
-        let there = (version.incarnation, version.sequence);
+        let remote = (version.incarnation, version.sequence);
         match known.get(&version.member) {
-            Some(record) if table::age(record) > there => newer.push((*record).clone()),
-            Some(record) if table::age(record) == there => {}
+            Some(record) if table::record_version(record) > remote => newer.push((*record).clone()),
+            Some(record) if table::record_version(record) == remote => {}
             _ => wanted.push(version.member),
         }
     }
@@ -141,11 +142,11 @@
     send_pages(newer, from, output);
     if !wanted.is_empty() {
         send(output, from, wire::MembershipMessage::Wanted(wanted));
-        state.membership.sync.more_at = page.has_more.then_some(from);
+        state.membership.sync.next_page_peer = page.has_more.then_some(from);
     }
 }
 
-/// Sends the records of members that a peer wants.
+/// Sends the records that a peer requested.
 pub fn send_records(
     state: &reducer::EngineState,
     to: SocketAddr,
@@ -161,26 +162,26 @@
 }
 
 fn send_pages(records: Vec<wire::MemberRecord>, to: SocketAddr, output: &mut event::ReducerOutput) {
-    for page in records.chunks(PAGE_RECORDS) {
+    for page in records.chunks(MAX_MESSAGE_RECORDS) {
         send(output, to, wire::MembershipMessage::Records(page.to_vec()));
     }
 }
 
-/// Takes records of a synchronization and goes on with the next page, if there is one.
-pub fn take_records(
+/// Applies received records and requests the next page, if there is one.
+pub fn handle_records(
     state: &mut reducer::EngineState,
     from: SocketAddr,
     records: Vec<wire::MemberRecord>,
     output: &mut event::ReducerOutput,
 ) {
-    gossip::take_quietly(state, from, records, output);
-    if state.membership.sync.more_at == Some(from) {
+    gossip::apply_synced_records(state, from, records, output);
+    if state.membership.sync.next_page_peer == Some(from) {
         send_buckets(state, from, output);
     }
 }
 
 impl membership::MembershipState {
-    /// The record of a member, its own included, also of one that left.
+    /// Returns the record of a member, which may be this process or one that left.
     pub fn record(
         &self,
         name: &hazeltiller_units::ids::InstanceName,
--- a/crates/engine/src/membership/table.rs
+++ b/crates/engine/src/membership/table.rs
@@ -1,91 +1,96 @@
-//! The table of members: which copy of a record holds, and digests to compare two tables by.
+//! Member table: decides which copy of a record is kept, and maintains digests for comparing
+//! tables.
 //!
-//! A record is replaced only by a larger `(incarnation, sequence)`. One that left stays as a
-//! tombstone, outside the digests, so that an old copy from elsewhere cannot bring it back.
+//! A record is replaced only by one with a larger `(incarnation, sequence)`. The record of a member
+//! that left is kept as a tombstone, which the digests do not cover, so that an old copy from
+//! elsewhere cannot restore the member.
 
 use hazeltiller_units::{ids, time};
 use hazeltiller_wire::membership as wire;
 
 use crate::{membership, reducer};
 
-/// Parts of a table that are compared one by one.
+/// Number of buckets of the table whose digests are compared separately.
 pub const BUCKETS: usize = 64;
 
-/// A member as it is known here.
+/// Another member, as known to this process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownMember {
-    /// Its own record.
+    /// The latest known copy of the member's record.
     pub record: wire::MemberRecord,
-    /// Short digest of its name.
+    /// Short digest of the member's name.
     pub digest: wire::ShortDigest,
-    /// When this copy was taken.
-    pub taken: time::MonotonicTime,
-    /// When anything last came from it directly.
-    pub heard: Option<time::MonotonicTime>,
-    /// Whether it answers, as far as is known here, its data centre's silence aside.
-    pub silence: MemberSilence,
-    /// Whether it was silent for so long that it no longer counts as a member.
+    /// When this copy was received.
+    pub received_at: time::MonotonicTime,
+    /// When a message last came from the member directly.
+    pub last_heard: Option<time::MonotonicTime>,
+    /// Liveness of the member, regardless of whether its data centre is silent.
+    pub status: MemberStatus,
+    /// Whether the member was unreachable for so long that it is no longer counted.
     pub is_forgotten: bool,
 }
 
-/// What is known of a member's answering.
+/// Liveness of a member as known to this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum MemberSilence {
-    /// Nothing is held against it.
+pub enum MemberStatus {
+    /// The member is not suspected.
     #[default]
-    Answers,
-    /// Somebody did not hear from it, and it has not refuted that yet.
+    Alive,
+    /// Some process got no answer from the member, which has not refuted that yet; since the given
+    /// time.
     Suspected(time::MonotonicTime),
-    /// It did not refute in time.
+    /// The member did not refute a suspicion in time; since the given time.
     Unreachable(time::MonotonicTime),
 }
 
 impl KnownMember {
-    /// Whether it counts as a member.
+    /// Returns whether the member has neither left nor been forgotten.
     pub fn is_present(&self) -> bool {
         !self.record.has_left && !self.is_forgotten
     }
 
-    /// Whether it is known not to answer, its data centre's silence aside.
+    /// Returns whether the member is considered unreachable, regardless of whether its data centre
+    /// is silent.
     pub fn is_unreachable(&self) -> bool {
-        matches!(self.silence, MemberSilence::Unreachable(_))
+        matches!(self.status, MemberStatus::Unreachable(_))
     }
 
-    /// Whether a copy of the record is the one that is held.
+    /// Returns whether the held record has this incarnation and sequence.
     pub fn is_copy(&self, incarnation: ids::IncarnationNumber, sequence: u64) -> bool {
-        age(&self.record) == (incarnation, sequence)
+        record_version(&self.record) == (incarnation, sequence)
     }
 }
 
-/// What became of a record that came in.
+/// Outcome of applying a received record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RecordNews {
-    /// It replaced an older one or was unknown.
+pub enum RecordOutcome {
+    /// The record was unknown or replaced an older one.
     New,
-    /// It is the one held.
+    /// The same version is already held, or the record is of no use.
     Same,
-    /// The one held is newer.
+    /// A newer version is already held.
     Older,
 }
 
-/// Order of the copies of one record.
-pub fn age(record: &wire::MemberRecord) -> (ids::IncarnationNumber, u64) {
+/// Returns the version of a record, by which copies are ordered.
+pub fn record_version(record: &wire::MemberRecord) -> (ids::IncarnationNumber, u64) {
     (record.identity.incarnation, record.sequence)
 }
 
-/// Short digest of a name.
+/// Returns the short digest of a name.
 pub fn name_digest(name: &str) -> wire::ShortDigest {
     let hash = blake3::hash(name.as_bytes());
     let bytes = hash.as_bytes().first_chunk().expect("a hash is longer");
     wire::ShortDigest::from(*bytes)
 }
 
-/// Short digest of a data centre's name, cut to four bytes.
+/// Returns the short digest of a data centre's name, truncated to four bytes.
 pub fn centre_digest(centre: &ids::DataCentreName) -> u32 {
     name_digest(centre.as_str()).0 as u32
 }
 
-/// Mixes a number so that near ones come out far apart.
+/// Mixes the bits of a number (the finalizer of SplitMix64), so that similar numbers yield
+/// unrelated results.
 pub fn mix(number: u64) -> u64 {
     let first = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let second = (first ^ (first >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -93,17 +98,17 @@
 }
 
 fn record_digest(name: wire::ShortDigest, record: &wire::MemberRecord) -> wire::ShortDigest {
-    let (incarnation, sequence) = age(record);
+    let (incarnation, sequence) = record_version(record);
     wire::ShortDigest(mix(name.0 ^ mix(incarnation.0) ^ mix(!sequence)))
 }
 
-/// The bucket of a member.
+/// Returns the bucket of a member.
 pub fn bucket(name: wire::ShortDigest) -> usize {
     (name.0 % BUCKETS as u64) as usize
 }
 
 impl membership::MembershipState {
-    /// Digest of the whole table.
+    /// Returns the digest of the whole table.
     pub fn table_digest(&self) -> wire::ShortDigest {
         let mut digest = wire::ShortDigest::default();
         for bucket in &self.buckets {
@@ -112,8 +117,9 @@
         digest
     }
 
-    /// Takes the own record out of the digests, or puts it back.
-    pub fn toggle_own(&mut self) {
+    /// Removes the own record from the digests, or adds it back. Does nothing once this process has
+    /// left.
+    pub fn toggle_own_digest(&mut self) {
         if self.own.has_left {
             return;
         }
@@ -121,7 +127,7 @@
         self.buckets[bucket(name)] ^= record_digest(name, &self.own);
     }
 
-    fn toggle(&mut self, name: &ids::InstanceName) {
+    fn toggle_digest(&mut self, name: &ids::InstanceName) {
         let Some(member) = self.members.get(name) else {
             return;
         };
@@ -130,9 +136,9 @@
         }
     }
 
-    /// Forgets a member that has been silent for long; a newer record makes it known again.
+    /// Forgets a member that was unreachable for long. A newer record makes it known again.
     pub fn forget(&mut self, name: &ids::InstanceName) {
-        self.toggle(name);
+        self.toggle_digest(name);
         if let Some(member) = self.members.get_mut(name) {
             member.is_forgotten = true;
             member.record.targets.clear();
@@ -142,41 +148,42 @@
     }
 }
 
-/// Takes a copy of a record.
-pub fn take(state: &mut reducer::EngineState, record: wire::MemberRecord) -> RecordNews {
+/// Applies a received copy of a record.
+pub fn apply(state: &mut reducer::EngineState, record: wire::MemberRecord) -> RecordOutcome {
     let name = record.identity.instance.clone();
     if name == state.settings.identity.instance {
-        membership::own::take_copy(state, &record);
-        return RecordNews::Same;
+        membership::own::apply_own_copy(state, &record);
+        return RecordOutcome::Same;
     }
     let known = state.membership.members.get(&name);
-    let order = known.map(|known| age(&known.record).cmp(&age(&record)));
+    let order = known.map(|known| record_version(&known.record).cmp(&record_version(&record)));
     match order {
-        Some(std::cmp::Ordering::Equal) => return RecordNews::Same,
-        Some(std::cmp::Ordering::Greater) => return RecordNews::Older,
-        // A tombstone of a stranger says nothing that is of use here.
-        None if record.has_left => return RecordNews::Same,
+        Some(std::cmp::Ordering::Equal) => return RecordOutcome::Same,
+        Some(std::cmp::Ordering::Greater) => return RecordOutcome::Older,
+        // The tombstone of an unknown member carries no information.
+        None if record.has_left => return RecordOutcome::Same,
         _ => {}
     }
-    let heard = known.and_then(|known| known.heard);
-    let was_usable = known.is_some_and(|known| known.is_present() && !known.is_unreachable());
-    let moved = known.is_none_or(|known| known.record.identity.address != record.identity.address);
-    if !was_usable || moved || record.has_left {
+    let last_heard = known.and_then(|known| known.last_heard);
+    let was_reachable = known.is_some_and(|known| known.is_present() && !known.is_unreachable());
+    let has_moved =
+        known.is_none_or(|known| known.record.identity.address != record.identity.address);
+    if !was_reachable || has_moved || record.has_left {
         state.membership.partners.is_stale = true;
     }
-    state.membership.toggle(&name);
+    state.membership.toggle_digest(&name);
     let member = KnownMember {
         digest: name_digest(name.as_str()),
         record,
-        taken: state.now,
-        heard,
-        silence: MemberSilence::Answers,
+        received_at: state.now,
+        last_heard,
+        status: MemberStatus::Alive,
         is_forgotten: false,
     };
     state.membership.members.insert(name.clone(), member);
-    state.membership.toggle(&name);
+    state.membership.toggle_digest(&name);
     state.membership.revision += 1;
     state.membership.suspicions.swap_remove(&name);
     state.membership.rumours.insert(name);
-    RecordNews::New
+    RecordOutcome::New
 }
--- a/crates/engine/tests/announcements.rs
+++ b/crates/engine/tests/announcements.rs
@@ -1,4 +1,5 @@
-//! Announcements that are late, crossed or of another life, and what becomes of waiting calls.
+//! Tests announcements that are delayed, reordered or from another incarnation, and their effect on
+//! queued calls.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 
 const LEASE: Duration = Duration::from_secs(8);
 
-fn started() -> node::NodeReducer {
+fn new_node() -> node::NodeReducer {
     let entries = json!([
         {"kind": "class", "name": "counter", "owner": "registru", "class": "counter"},
         {"kind": "owner", "name": "registru", "owner": "registru", "class": "counter"},
@@ -27,18 +28,18 @@
     sequence: u64,
     state: wire_membership::TargetState,
 ) -> Vec<calls::CallEffect> {
-    announce_life(node, name, (0, sequence), state)
+    announce_incarnation(node, name, (0, sequence), state)
 }
 
-fn announce_life(
+fn announce_incarnation(
     node: &mut node::NodeReducer,
     name: &str,
-    (life, sequence): (u64, u64),
+    (incarnation, sequence): (u64, u64),
     state: wire_membership::TargetState,
 ) -> Vec<calls::CallEffect> {
     let record = wire_membership::TargetRecord {
         state,
-        incarnation: ids::IncarnationNumber(life),
+        incarnation: ids::IncarnationNumber(incarnation),
         ..node::target(name, "registru", 1)
     };
     let announcement = membership::TargetAnnouncement {
@@ -52,13 +53,13 @@
 }
 
 fn withdraw(node: &mut node::NodeReducer, name: &str) {
-    let name = name.parse().expect("it is a name");
+    let name = name.parse().expect("valid name");
     let event = membership::MembershipEvent::Withdrawn(name);
     node.reduce(event::Event::Membership(event));
 }
 
 fn state_of(node: &node::NodeReducer, name: &str) -> Option<wire_membership::TargetState> {
-    let name: ids::TargetName = name.parse().expect("it is a name");
+    let name: ids::TargetName = name.parse().expect("valid name");
     let target = node.state.membership.targets.get(&name)?;
     Some(target.record.state)
 }
@@ -67,35 +68,35 @@
 const DRAINING: wire_membership::TargetState = wire_membership::TargetState::Draining;
 
 #[test]
-fn late_ignored() {
-    let mut node = started();
+fn delayed_ignored() {
+    let mut node = new_node();
     announce(&mut node, "one", 4, READY);
     announce(&mut node, "one", 6, DRAINING);
     announce(&mut node, "one", 5, READY);
     assert_eq!(state_of(&node, "one"), Some(DRAINING));
     withdraw(&mut node, "one");
     announce(&mut node, "one", 7, READY);
-    assert_eq!(state_of(&node, "one"), None, "it has left for good");
+    assert_eq!(state_of(&node, "one"), None, "the target deregistered");
 }
 
 #[test]
-fn late_renews_nothing() {
-    let mut node = started();
+fn lease_not_renewed() {
+    let mut node = new_node();
     announce(&mut node, "one", 4, READY);
     node.pass(LEASE / 2);
     announce(&mut node, "one", 3, READY);
     node.pass(LEASE / 2);
-    assert_eq!(state_of(&node, "one"), None, "its lease has lapsed");
+    assert_eq!(state_of(&node, "one"), None, "the lease has expired");
 }
 
 #[test]
 fn address_taken_over() {
-    let mut node = started();
+    let mut node = new_node();
     announce(&mut node, "old", 9, READY);
     announce(&mut node, "new", 1, READY);
     assert_eq!(state_of(&node, "old"), None);
     assert_eq!(state_of(&node, "new"), Some(READY));
-    // It was held up on the way since before the other one started.
+    // These were delayed since before the new target started.
     announce(&mut node, "old", 10, READY);
     announce(&mut node, "older", 30, READY);
     assert_eq!(state_of(&node, "old"), None);
@@ -117,21 +118,24 @@
 }
 
 #[test]
-fn draining_gives_back() {
-    let mut node = started();
+fn draining_rejects_queued() {
+    let mut node = new_node();
     announce(&mut node, "one", 1, READY);
     offer(&mut node, 1);
-    assert!(offer(&mut node, 2).is_empty(), "it waits for the one slot");
+    assert!(
+        offer(&mut node, 2).is_empty(),
+        "the call waits for the only slot"
+    );
     let effects = announce(&mut node, "one", 2, DRAINING);
-    let refusal = refused(&effects, 2).expect("what waits goes elsewhere");
+    let refusal = refused(&effects, 2).expect("the queued call is rejected");
     assert_eq!(refusal.code, code::ResultCode::TargetMissing);
     assert!(refusal.elsewhere && refusal.outcome == wire::CallOutcome::NotRun);
-    assert_eq!(refused(&effects, 1), None, "what runs goes on");
+    assert_eq!(refused(&effects, 1), None, "the running call continues");
 }
 
 #[test]
-fn misplaced_left() {
-    let mut node = started();
+fn wrong_target_withdrawn() {
+    let mut node = new_node();
     announce(&mut node, "one", 5, READY);
     offer(&mut node, 1);
     let result = calls::RunResult::Misplaced;
@@ -139,83 +143,99 @@
     node.call(calls::CallEvent::RunEnded { call, result });
     assert_eq!(state_of(&node, "one"), None);
     announce(&mut node, "one", 5, READY);
-    assert_eq!(state_of(&node, "one"), None, "said before it was gone");
+    assert_eq!(
+        state_of(&node, "one"),
+        None,
+        "the announcement predates the withdrawal"
+    );
     announce(&mut node, "one", 6, READY);
-    assert_eq!(state_of(&node, "one"), Some(READY), "it is there again");
+    assert_eq!(
+        state_of(&node, "one"),
+        Some(READY),
+        "a later announcement registers the target"
+    );
 }
 
-/// A target that starts again under its name holds nothing of before: not what runs or waits, not that it
-/// was draining; what is late of its earlier life changes nothing.
+/// A target that restarts under its name keeps nothing of its earlier incarnation: no running or
+/// queued calls and no draining state. Delayed announcements of the earlier incarnation have no
+/// effect.
 #[test]
 fn same_name_restarts() {
-    let mut node = started();
-    announce_life(&mut node, "one", (100, 7), READY);
+    let mut node = new_node();
+    announce_incarnation(&mut node, "one", (100, 7), READY);
     offer(&mut node, 1);
-    assert!(offer(&mut node, 2).is_empty(), "it waits for the one slot");
-    let effects = announce_life(&mut node, "one", (200, 1), READY);
-    let refusal = refused(&effects, 2).expect("what waits goes elsewhere");
+    assert!(
+        offer(&mut node, 2).is_empty(),
+        "the call waits for the only slot"
+    );
+    let effects = announce_incarnation(&mut node, "one", (200, 1), READY);
+    let refusal = refused(&effects, 2).expect("the queued call is rejected");
     assert!(refusal.elsewhere && refusal.outcome == wire::CallOutcome::NotRun);
-    let runs = |effects: &[calls::CallEffect]| matches!(effects, [calls::CallEffect::Run(..)]);
-    assert!(runs(&offer(&mut node, 3)), "the new life's slot is free");
-    // The run that the old life took along frees no slot of the new one.
+    let is_run = |effects: &[calls::CallEffect]| matches!(effects, [calls::CallEffect::Run(..)]);
+    assert!(
+        is_run(&offer(&mut node, 3)),
+        "the slot of the new incarnation is free"
+    );
+    // The end of a run of the earlier incarnation does not free a slot of the new one.
     let result = calls::RunResult::Crashed;
     let call = ids::CallId(1);
     node.call(calls::CallEvent::RunEnded { call, result });
     assert!(offer(&mut node, 4).is_empty(), "the slot is taken");
-    announce_life(&mut node, "one", (100, 8), DRAINING);
+    announce_incarnation(&mut node, "one", (100, 8), DRAINING);
     assert_eq!(state_of(&node, "one"), Some(READY));
-    announce_life(&mut node, "one", (200, 2), DRAINING);
+    announce_incarnation(&mut node, "one", (200, 2), DRAINING);
     assert_eq!(state_of(&node, "one"), Some(DRAINING));
-    announce_life(&mut node, "one", (300, 1), READY);
+    announce_incarnation(&mut node, "one", (300, 1), READY);
     assert_eq!(state_of(&node, "one"), Some(READY));
 }
 
 #[test]
-fn gone_and_back() {
-    let mut node = started();
-    announce_life(&mut node, "one", (100, 7), READY);
+fn restart_after_withdrawal() {
+    let mut node = new_node();
+    announce_incarnation(&mut node, "one", (100, 7), READY);
     withdraw(&mut node, "one");
-    announce_life(&mut node, "one", (100, 8), READY);
+    announce_incarnation(&mut node, "one", (100, 8), READY);
     assert_eq!(
         state_of(&node, "one"),
         None,
-        "it was on its way when it left"
+        "the announcement predates the withdrawal"
     );
-    announce_life(&mut node, "one", (200, 1), READY);
+    announce_incarnation(&mut node, "one", (200, 1), READY);
     assert_eq!(state_of(&node, "one"), Some(READY));
 }
 
-/// Of two at one address the one that started later has it, whatever the numbers of their announcements.
+/// Of two targets at one address the one that started later keeps it, regardless of sequence
+/// numbers.
 #[test]
-fn later_life_has_address() {
-    let mut node = started();
-    announce_life(&mut node, "old", (100, 9), READY);
-    announce_life(&mut node, "new", (200, 5), READY);
+fn later_incarnation_wins() {
+    let mut node = new_node();
+    announce_incarnation(&mut node, "old", (100, 9), READY);
+    announce_incarnation(&mut node, "new", (200, 5), READY);
     assert_eq!(state_of(&node, "old"), None);
-    announce_life(&mut node, "older", (90, 1), READY);
+    announce_incarnation(&mut node, "older", (90, 1), READY);
     assert_eq!(state_of(&node, "older"), None);
     assert_eq!(state_of(&node, "new"), Some(READY));
 }
 
-/// A clock that stepped back between two starts keeps a target out for its lease only.
+/// A clock that was set back between two starts locks a target out for its lease only.
 #[test]
 fn clock_stepped_back() {
-    let mut node = started();
-    announce_life(&mut node, "one", (500, 7), READY);
+    let mut node = new_node();
+    announce_incarnation(&mut node, "one", (500, 7), READY);
     node.pass(LEASE / 2);
-    announce_life(&mut node, "one", (300, 1), READY);
+    announce_incarnation(&mut node, "one", (300, 1), READY);
     node.pass(LEASE / 2);
     assert_eq!(state_of(&node, "one"), None);
-    announce_life(&mut node, "one", (300, 2), READY);
+    announce_incarnation(&mut node, "one", (300, 2), READY);
     assert_eq!(state_of(&node, "one"), Some(READY));
 }
 
-/// An announcement of another writer, for a service that nobody has named, displaces nobody.
+/// An announcement for a service that is not in the catalogue displaces no target.
 #[test]
-fn foreign_displaces_nobody() {
-    let mut node = started();
+fn foreign_ignored() {
+    let mut node = new_node();
     announce(&mut node, "one", 1, READY);
-    for name in ["one", "stranger"] {
+    for name in ["one", "foreign"] {
         let record = node::target(name, "unknown", 1);
         let announcement = membership::TargetAnnouncement {
             record,
@@ -233,25 +253,29 @@
         let (call, result) = (ids::CallId(1), calls::RunResult::Done { status: 200 });
         node.call(calls::CallEvent::RunEnded { call, result });
     }
-    assert_eq!(state_of(&node, "stranger"), None);
+    assert_eq!(state_of(&node, "foreign"), None);
 }
 
 #[test]
 fn warm_time_kept() {
-    let mut node = started();
+    let mut node = new_node();
     let warm_at = |node: &node::NodeReducer| {
-        let name: ids::TargetName = "one".parse().expect("it is a name");
+        let name: ids::TargetName = "one".parse().expect("valid name");
         node.state.membership.targets[&name].warm_at
     };
-    announce_life(&mut node, "one", (1, 1), READY);
+    announce_incarnation(&mut node, "one", (1, 1), READY);
     let first = warm_at(&node);
     node.now = node.now + Duration::from_secs(1);
-    announce_life(&mut node, "one", (1, 2), READY);
+    announce_incarnation(&mut node, "one", (1, 2), READY);
     assert_eq!(
         warm_at(&node),
         first,
-        "a run across an announcement began warm"
+        "an announcement does not postpone the end of the warm-up"
+    );
+    announce_incarnation(&mut node, "one", (2, 1), READY);
+    assert_eq!(
+        warm_at(&node),
+        node.now,
+        "a new incarnation starts its own warm-up"
     );
-    announce_life(&mut node, "one", (2, 1), READY);
-    assert_eq!(warm_at(&node), node.now, "a new life starts cold");
 }
--- a/crates/engine/tests/membership.rs
+++ b/crates/engine/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership among reducers on a fake network: joining, suspicion, leaving, partitions, churn.
+//! Tests membership among reducers on a simulated network: joining, suspicion, leaving, partitions
+//! and churn.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,7 +13,7 @@
 use hazeltiller_wire::{membership as wire, message};
 
 const CENTRES: [&str; 2] = ["brasov-a", "sibiu-a"];
-const LONG: Duration = Duration::from_secs(30);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 const LEASE: Duration = Duration::from_secs(600);
 
 fn settled_fleet(seed: u64, nodes: usize) -> (reducers::ReducerFleet, Vec<String>) {
@@ -24,14 +25,14 @@
         names.extend(fleet.add_nodes(centre, nodes));
     }
     let count = names.len() + 1;
-    let all_known = fleet.run_until(LONG, |fleet| know(fleet, count));
-    assert!(all_known, "everybody finds everybody");
+    let all_known = fleet.run_until(SETTLE_TIMEOUT, |fleet| all_know(fleet, count));
+    assert!(all_known, "every process knows every member");
     fleet.run(Duration::from_secs(5));
     (fleet, names)
 }
 
-/// Whether every running process knows this many members.
-fn know(fleet: &reducers::ReducerFleet, count: usize) -> bool {
+/// Returns whether every running process knows this many members, itself included.
+fn all_know(fleet: &reducers::ReducerFleet, count: usize) -> bool {
     let mut running = fleet
         .processes
         .values()
@@ -40,15 +41,15 @@
 }
 
 fn reachability(fleet: &reducers::ReducerFleet, at: &str, of: &str) -> Reachability {
-    let name: ids::InstanceName = of.parse().expect("tests give names");
+    let name: ids::InstanceName = of.parse().expect("valid name");
     fleet.processes[at].state.membership.reachability(&name)
 }
 
 fn announce(target: &str, state: wire::TargetState) -> event::Event {
     let announcement = membership::TargetAnnouncement {
         record: wire::TargetRecord {
-            name: target.parse().expect("tests give names"),
-            service: "registru".parse().expect("it is a name"),
+            name: target.parse().expect("valid name"),
+            service: "registru".parse().expect("valid name"),
             address: SocketAddr::from(([127, 0, 0, 1], 9000)),
             slots: 10,
             connections: 130,
@@ -63,7 +64,7 @@
     event::Event::Membership(membership::MembershipEvent::Announced(announcement))
 }
 
-/// States in which processes know a target.
+/// Returns the state of a target as known to each running process.
 fn known_states(fleet: &reducers::ReducerFleet, target: &str) -> Vec<Option<wire::TargetState>> {
     let running = fleet
         .processes
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn everybody_found() {
+fn all_discovered() {
     let (fleet, names) = settled_fleet(1, 40);
     for at in &names {
         for of in &names {
@@ -109,23 +110,24 @@
             fleet.kill(control);
         }
         let all_found = |fleet: &reducers::ReducerFleet| {
-            let reached =
+            let is_reached =
                 |at: &String, of: &String| reachability(fleet, at, of) == Reachability::Reachable;
             names
                 .iter()
-                .all(|at| names.iter().all(|of| reached(at, of)))
+                .all(|at| names.iter().all(|of| is_reached(at, of)))
         };
         assert!(
-            fleet.run_until(LONG, all_found),
-            "seed {seed}: nodes know each other"
+            fleet.run_until(SETTLE_TIMEOUT, all_found),
+            "seed {seed}: the nodes know each other"
         );
     }
 }
 
-/// Neighbours are stopped and come back one after the other while a control is cut off: they may be told
-/// of each other only, and an island of them would serve nothing of the fleet's.
+/// Neighbours stop and restart one after the other while a control is partitioned. They may be
+/// introduced to each other only, and must not form an island that knows nothing of the rest of the
+/// fleet.
 #[test]
-fn neighbours_come_back() {
+fn neighbours_restart() {
     for seed in 60..100 {
         let controls = [("c-0", "brasov-a"), ("c-1", "sibiu-a"), ("c-2", "brasov-a")];
         let tunables = settings::EngineTunables::default();
@@ -145,13 +147,13 @@
             fleet.start(name);
         }
         let is_found = |fleet: &reducers::ReducerFleet| {
-            let know = |at: &String| reachability(fleet, at, &names[3]) == Reachability::Reachable;
-            names[..3].iter().all(know)
+            let knows = |at: &String| reachability(fleet, at, &names[3]) == Reachability::Reachable;
+            names[..3].iter().all(knows)
         };
-        let soon = Duration::from_millis(800);
+        let timeout = Duration::from_millis(800);
         assert!(
-            fleet.run_until(soon, is_found),
-            "seed {seed}: the fleet is found"
+            fleet.run_until(timeout, is_found),
+            "seed {seed}: the restarted nodes know the rest of the fleet"
         );
     }
 }
@@ -181,25 +183,31 @@
 fn draining_spreads() {
     let (mut fleet, names) = settled_fleet(3, 20);
     fleet.tell(&names[0], announce("t-1", wire::TargetState::Ready));
-    let is = |state| {
+    let all_in_state = |state| {
         move |fleet: &reducers::ReducerFleet| {
             known_states(fleet, "t-1")
                 .iter()
                 .all(|known| *known == Some(state))
         }
     };
-    assert!(fleet.run_until(Duration::from_secs(2), is(wire::TargetState::Ready)));
+    assert!(fleet.run_until(
+        Duration::from_secs(2),
+        all_in_state(wire::TargetState::Ready)
+    ));
     fleet.tell(&names[0], announce("t-1", wire::TargetState::Draining));
-    assert!(fleet.run_until(Duration::from_secs(2), is(wire::TargetState::Draining)));
+    assert!(fleet.run_until(
+        Duration::from_secs(2),
+        all_in_state(wire::TargetState::Draining)
+    ));
 }
 
 #[test]
 fn slow_link_ejects_nobody() {
     let (mut fleet, names) = settled_fleet(4, 10);
-    let (one, other) = (names[0].clone(), names[1].clone());
+    let (first, second) = (names[0].clone(), names[1].clone());
     fleet.cut(move |from, to| {
         let pair = [from.instance.as_str(), to.instance.as_str()];
-        pair.contains(&one.as_str()) && pair.contains(&other.as_str())
+        pair.contains(&first.as_str()) && pair.contains(&second.as_str())
     });
     for _ in 0..60 {
         fleet.run(Duration::from_secs(1));
@@ -213,16 +221,16 @@
 }
 
 #[test]
-fn dead_found_out() {
+fn dead_detected() {
     let (mut fleet, names) = settled_fleet(5, 10);
     let dead = names[7].clone();
     fleet.kill(&dead);
     let others: Vec<String> = names.into_iter().filter(|name| *name != dead).collect();
-    let is_found_out = |fleet: &reducers::ReducerFleet| {
+    let is_detected = |fleet: &reducers::ReducerFleet| {
         let at = |at: &String| reachability(fleet, at, &dead) == Reachability::Unreachable;
         others.iter().all(at)
     };
-    assert!(fleet.run_until(Duration::from_secs(10), is_found_out));
+    assert!(fleet.run_until(Duration::from_secs(10), is_detected));
     fleet.start(&dead);
     let is_back = |fleet: &reducers::ReducerFleet| {
         let at = |at: &String| reachability(fleet, at, &dead) == Reachability::Reachable;
@@ -230,7 +238,7 @@
     };
     assert!(
         fleet.run_until(Duration::from_secs(10), is_back),
-        "a restart is known at once"
+        "the restarted node is reachable again"
     );
 }
 
@@ -240,29 +248,29 @@
         let (mut fleet, names) = settled_fleet(seed, 10);
         let dead = names[7].clone();
         fleet.kill(&dead);
-        // The one rumour about it reaches only some.
+        // The only rumour about the dead member reaches some of the others.
         fleet.lost_share = 0.6;
         fleet.run(Duration::from_secs(8));
         fleet.lost_share = 0.0;
         let others: Vec<String> = names.into_iter().filter(|name| *name != dead).collect();
-        let is_told_apart = |fleet: &reducers::ReducerFleet| {
-            let right = |at: &String, of: &String| {
+        let is_classified = |fleet: &reducers::ReducerFleet| {
+            let is_correct = |at: &String, of: &String| {
                 let is_dead = *of == dead;
                 (reachability(fleet, at, of) == Reachability::Unreachable) == is_dead
             };
             let all = others.iter().chain([&dead]);
             all.into_iter()
-                .all(|of| others.iter().all(|at| right(at, of)))
+                .all(|of| others.iter().all(|at| is_correct(at, of)))
         };
         assert!(
-            fleet.run_until(LONG, is_told_apart),
-            "seed {seed}: {dead} is found out by all"
+            fleet.run_until(SETTLE_TIMEOUT, is_classified),
+            "seed {seed}: only {dead} is unreachable"
         );
     }
 }
 
 #[test]
-fn leaving_is_said() {
+fn leave_announced() {
     let (mut fleet, names) = settled_fleet(6, 8);
     let leaver = names[3].clone();
     let copy = fleet.processes[&leaver].state.membership.own.clone();
@@ -271,18 +279,18 @@
     fleet.run(Duration::from_millis(50));
     fleet.kill(&leaver);
     let count = names.len();
-    assert!(fleet.run_until(Duration::from_secs(2), |fleet| know(fleet, count)));
-    // An old copy of its record comes from somewhere.
+    assert!(fleet.run_until(Duration::from_secs(2), |fleet| all_know(fleet, count)));
+    // An old copy of the leaver's record arrives from another member.
     let from = fleet.processes[&names[0]].state.settings.identity.clone();
     let records = wire::MembershipMessage::Records(vec![copy]);
     let message = message::PeerMessage::Membership(records);
     fleet.tell(&names[5], event::Event::Received { from, message });
     fleet.run(Duration::from_secs(10));
-    assert!(know(&fleet, count), "what left is not resurrected");
+    assert!(all_know(&fleet, count), "the leaver is not restored");
     fleet.start(&leaver);
     assert!(
-        fleet.run_until(LONG, |fleet| know(fleet, count + 1)),
-        "it may come back itself"
+        fleet.run_until(SETTLE_TIMEOUT, |fleet| all_know(fleet, count + 1)),
+        "the leaver can join again"
     );
 }
 
@@ -290,7 +298,7 @@
 fn clock_went_back() {
     let (mut fleet, names) = settled_fleet(7, 6);
     let name = names[2].clone();
-    // The record of an earlier life, whose clock was an hour ahead.
+    // The record of an earlier run, whose clock was an hour ahead.
     let mut earlier = fleet.processes[&name].state.membership.own.clone();
     earlier.identity.incarnation.0 += 3_600_000;
     earlier.sequence = 9;
@@ -312,69 +320,70 @@
 }
 
 #[test]
-fn centres_parted() {
+fn partitioned_centres() {
     let (mut fleet, names) = settled_fleet(8, 10);
-    let (near, far) = names.split_at(10);
-    let gone = near[4].clone();
-    let is_far = |identity: &wire::PeerIdentity| identity.data_centre.as_str() == "sibiu-a";
-    fleet.cut(move |from, to| is_far(from) != is_far(to));
+    let (local_nodes, remote_nodes) = names.split_at(10);
+    let leaver = local_nodes[4].clone();
+    let is_remote = |identity: &wire::PeerIdentity| identity.data_centre.as_str() == "sibiu-a";
+    fleet.cut(move |from, to| is_remote(from) != is_remote(to));
     fleet.run(Duration::from_secs(12));
-    for (here, there) in [(near, far), (far, near)] {
+    for (own_side, other_side) in [(local_nodes, remote_nodes), (remote_nodes, local_nodes)] {
         assert_eq!(
-            reachability(&fleet, &here[0], &here[1]),
+            reachability(&fleet, &own_side[0], &own_side[1]),
             Reachability::Reachable
         );
-        for of in there {
-            let known = reachability(&fleet, &here[0], of);
+        for of in other_side {
+            let known = reachability(&fleet, &own_side[0], of);
             assert_eq!(
                 known,
                 Reachability::Unreachable,
-                "the other side is not reachable"
+                "the other side is unreachable"
             );
         }
-        let present = fleet.processes[&here[0]].state.membership.present().count();
-        assert_eq!(present, names.len() + 1, "and not gone");
+        let present = fleet.processes[&own_side[0]]
+            .state
+            .membership
+            .present()
+            .count();
+        assert_eq!(present, names.len() + 1, "no member has left");
     }
-    // Targets come and go on both sides; one node leaves on one side.
+    // Targets change on both sides, and one node leaves on one side.
     for step in 0..60 {
-        let (one, other) = (&near[step % 4], &far[step % 5]);
+        let (first, second) = (&local_nodes[step % 4], &remote_nodes[step % 5]);
         fleet.tell(
-            one,
+            first,
             announce(&format!("n-{}", step % 7), wire::TargetState::Ready),
         );
         fleet.tell(
-            other,
+            second,
             announce(&format!("f-{}", step % 7), wire::TargetState::Ready),
         );
         fleet.run(Duration::from_secs(2));
     }
     fleet.tell(
-        &gone,
+        &leaver,
         event::Event::Membership(membership::MembershipEvent::Leave),
     );
     fleet.run(Duration::from_millis(50));
-    fleet.kill(&gone);
+    fleet.kill(&leaver);
     fleet.run(Duration::from_secs(5));
     fleet.cut(|_, _| false);
     let count = names.len();
     let others: Vec<String> = names
         .iter()
-        .filter(|name| **name != gone)
+        .filter(|name| **name != leaver)
         .cloned()
         .collect();
-    let merged = fleet.run_until(LONG, |fleet| {
-        let reach = |at: &String| {
+    let merged = fleet.run_until(SETTLE_TIMEOUT, |fleet| {
+        let reaches_all = |at: &String| {
             let mut of = others.iter();
             of.all(|of| reachability(fleet, at, of) == Reachability::Reachable)
         };
-        know(fleet, count) && others.iter().all(reach) && tables_equal(fleet)
+        all_know(fleet, count) && others.iter().all(reaches_all) && tables_equal(fleet)
     });
-    assert!(
-        merged,
-        "both sides hold one table again, without the one that left"
-    );
+    assert!(merged, "both sides agree on one table without the leaver");
     fleet.run(Duration::from_secs(20));
-    assert!(know(&fleet, count), "and it stays so");
+    assert!(all_know(&fleet, count), "the member count is stable");
 }
 
 fn tables_equal(fleet: &reducers::ReducerFleet) -> bool {
@@ -402,7 +411,7 @@
         fleet.run(Duration::from_millis(100));
     }
     assert!(
-        fleet.run_until(LONG, tables_equal),
-        "all tables come to be equal"
+        fleet.run_until(SETTLE_TIMEOUT, tables_equal),
+        "all tables converge"
     );
 }
