--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -263,7 +263,7 @@
     }
     let claims_file = match &settings.data_folder {
         Some(folder) if credentials.identity.is_control => {
-            let opened = store_claims::FileClaims::open(folder, is_folder_new);
+            let opened = store_claims::ClaimFile::open(folder, is_folder_new);
             let (file, recovered) = opened.context(StoreSnafu)?;
             let acceptor =
                 ledger::acceptor::AcceptorState::recover(recovered.claims, recovered.standing);
--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -44,12 +44,12 @@
 
 /// Claims in a folder.
 #[derive(Debug)]
-pub struct FileClaims {
+pub struct ClaimFile {
     folder: PathBuf,
     file: fs::File,
 }
 
-impl FileClaims {
+impl ClaimFile {
     /// Opens or makes the file in a folder and reads what it holds; `is_folder_new` where the folder held
     /// nothing else either. A damaged file is put aside, and its claims count as lost.
     pub fn open(
@@ -116,7 +116,7 @@
     }
 }
 
-impl ClaimStore for FileClaims {
+impl ClaimStore for ClaimFile {
     fn append(&mut self, records: &[ledger::ClaimRecord]) -> Result<(), error::StoreError> {
         let path = self.folder.join(CLAIMS_FILE);
         let disk = |action| error::DiskSnafu {
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -268,7 +268,7 @@
     record::check_header(path, &bytes, record::SNAPSHOT_MAGIC)?;
     let first = record::FILE_HEADER_BYTES;
     let snapshot: wire::LogSnapshot = match record::read_record(path, &bytes, first)? {
-        record::RecordRead::Whole { value, .. } => value,
+        record::RecordRead::Complete { value, .. } => value,
         record::RecordRead::End | record::RecordRead::Torn => {
             let message = "the snapshot is cut".into();
             return Err(record::damaged(path, first, message));
@@ -287,7 +287,7 @@
     let mut offset = record::FILE_HEADER_BYTES;
     loop {
         match record::read_record(path, bytes, offset)? {
-            record::RecordRead::Whole { value, next } => {
+            record::RecordRead::Complete { value, next } => {
                 take_record(path, &mut content, offset, value)?;
                 offset = next;
             }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, PartialEq)]
 pub enum RecordRead<T> {
     /// A whole record.
-    Whole {
+    Complete {
         /// What it says.
         value: T,
         /// Where the next one begins.
@@ -130,7 +130,7 @@
     }
     let value = postcard::from_bytes(body);
     let value = value.map_err(|error| damaged(path, offset, error.to_string()))?;
-    Ok(RecordRead::Whole { value, next })
+    Ok(RecordRead::Complete { value, next })
 }
 
 /// Whether the last sectors before `end` never reached the disk.
--- a/crates/store/tests/claims.rs
+++ b/crates/store/tests/claims.rs
@@ -19,7 +19,7 @@
 }
 
 fn filled(folder: &Path) {
-    let (mut file, recovered) = claims::FileClaims::open(folder, true).expect("a fresh folder");
+    let (mut file, recovered) = claims::ClaimFile::open(folder, true).expect("a fresh folder");
     assert_eq!(recovered.standing, ClaimsStanding::Unproven);
     assert!(recovered.claims.is_empty());
     file.append(&[ClaimRecord::Standing(ClaimsStanding::Whole)])
@@ -32,7 +32,7 @@
 }
 
 fn reopened(folder: &Path) -> (Vec<u8>, bool) {
-    let (_file, recovered) = claims::FileClaims::open(folder, false).expect("a sound disk");
+    let (_file, recovered) = claims::ClaimFile::open(folder, false).expect("a sound disk");
     let numbers = recovered.claims.keys().map(|request| request.0[0]);
     (
         numbers.collect(),
@@ -44,7 +44,7 @@
 fn read_back() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     filled(folder.path());
-    let (_file, recovered) = claims::FileClaims::open(folder.path(), false).expect("sound");
+    let (_file, recovered) = claims::ClaimFile::open(folder.path(), false).expect("sound");
     assert!(recovered.claims[&RequestDigest([2; 16])].is_done);
     assert!(!recovered.claims[&RequestDigest([3; 16])].is_done);
     assert_eq!(reopened(folder.path()), (vec![2, 3], true));
@@ -106,7 +106,7 @@
 fn rewritten() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     filled(folder.path());
-    let (mut file, _recovered) = claims::FileClaims::open(folder.path(), false).expect("sound");
+    let (mut file, _recovered) = claims::ClaimFile::open(folder.path(), false).expect("sound");
     let whole = [ClaimRecord::Standing(ClaimsStanding::Whole), kept(3)];
     file.rewrite(&whole).expect("a sound disk");
     file.append(&[kept(4)]).expect("a sound disk");
--- a/crates/store/tests/decoders.rs
+++ b/crates/store/tests/decoders.rs
@@ -28,7 +28,7 @@
 fn read_all(bytes: &[u8]) -> Vec<record::LogRecord> {
     let mut offset = 0;
     let mut records = Vec::new();
-    while let Ok(record::RecordRead::Whole { value, next }) =
+    while let Ok(record::RecordRead::Complete { value, next }) =
         record::read_record(Path::new("log"), bytes, offset)
     {
         assert!(next > offset, "reading goes on");
--- a/fuzz/fuzz_targets/records.rs
+++ b/fuzz/fuzz_targets/records.rs
@@ -10,7 +10,7 @@
 fuzz_target!(|bytes: &[u8]| {
     let path = Path::new("log");
     let mut offset = 0;
-    while let Ok(record::RecordRead::Whole { next, .. }) =
+    while let Ok(record::RecordRead::Complete { next, .. }) =
         record::read_record::<record::LogRecord>(path, bytes, offset)
     {
         assert!(next > offset);
