--- a/crates/engine/src/health.rs
+++ b/crates/engine/src/health.rs
@@ -1,9 +1,9 @@
-//! Health of targets by the outcomes of calls.
+//! Health of targets, derived from the outcomes of calls.
 //!
-//! The owner node sees every outcome of its target and says so with each answer; an ingress node
-//! keeps its calls away from a target that is said to fail, and from one whose node it cannot
-//! reach. A health page counts only while there are no outcomes to go by: a good page never
-//! overrules failing answers, and a bad one never overrules good answers.
+//! The owner node sees every outcome of its target and reports the target's health with each
+//! answer. An ingress node ejects targets that are reported as failing and targets whose node it
+//! cannot connect to. Active health checks count only while there are no recent outcomes: a passing
+//! check never overrides failed answers, and a failing check never overrides successful ones.
 
 use std::time::Duration;
 
@@ -18,56 +18,56 @@
 pub use ejection::{EjectionState, connect_retry_delay, ejected_targets};
 pub use outcome::OutcomeWindow;
 
-/// Events of health.
+/// Events of health checking.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HealthEvent {
-    /// An own target's health page was asked for.
+    /// An active health check of an own target has completed.
     Probed {
-        /// Which target.
+        /// The checked target.
         target: ids::TargetName,
-        /// Whether it said good in time.
+        /// Whether the target reported itself healthy within the timeout.
         is_healthy: bool,
     },
 }
 
-/// Effects of health.
+/// Effects of health checking.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HealthEffect {
-    /// Ask for an own target's health page.
+    /// Run an active health check of an own target.
     Probe(ProbePlan),
 }
 
-/// A probe to be made.
+/// An active health check to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProbePlan {
-    /// Which target.
+    /// Target to check.
     pub target: ids::TargetName,
-    /// Where it listens.
+    /// Address that the target listens on.
     pub address: std::net::SocketAddr,
-    /// Path of its health page.
+    /// Path of the health endpoint.
     pub path: String,
-    /// Longest time to an answer.
+    /// Time limit for the answer.
     pub timeout: Duration,
 }
 
-/// What the owner node knows of an own target.
+/// Health of an own target as its owner node knows it.
 #[derive(Debug, Clone, Default)]
-pub struct OwnHealth {
-    /// Outcomes of runs.
+pub struct OwnTargetHealth {
+    /// Recent outcomes of runs.
     pub outcomes: OutcomeWindow,
-    /// Bad probes in a row.
+    /// Number of consecutive failed health checks.
     bad_probes: u32,
     next_probe: time::MonotonicTime,
 }
 
-/// State of health.
+/// Health state of the own targets.
 #[derive(Debug, Clone, Default)]
 pub struct HealthState {
-    /// Own targets by name.
-    pub own: IndexMap<ids::TargetName, OwnHealth>,
+    /// Health of each own target.
+    pub own: IndexMap<ids::TargetName, OwnTargetHealth>,
 }
 
-/// Whether the owner node holds an own target unhealthy.
+/// Returns whether the owner node considers an own target unhealthy.
 pub fn is_failing(state: &reducer::EngineState, target: &ids::TargetName) -> bool {
     let Some(health) = state.health.own.get(target) else {
         return false;
@@ -79,15 +79,17 @@
     health.outcomes.is_failing(state.now, tunables)
 }
 
-/// Takes how a run of an own target ended; `is_late` when its deadline was over by then.
+/// Records the result of a run of an own target. `is_late` tells whether its deadline had passed by
+/// then.
 pub fn record_run_result(
     state: &mut reducer::EngineState,
     target: &ids::TargetName,
     result: calls::RunResult,
     is_late: bool,
 ) {
-    let is_good = match result {
-        // It shed the call: admission gives it less work, which is no verdict on its health.
+    let is_success = match result {
+        // The target shed the call. Admission reduces its load for that; it says nothing about its
+        // health.
         calls::RunResult::Done { status: 503 } | calls::RunResult::Declined => return,
         calls::RunResult::Done { status } => status < 500,
         calls::RunResult::NotConnected
@@ -99,22 +101,26 @@
         calls::RunResult::CallerGone if is_late => false,
         calls::RunResult::CallerGone => return,
     };
-    note(state, target, is_good);
+    record_outcome(state, target, is_success);
 }
 
-/// Notes an outcome of an own target.
-pub fn note(state: &mut reducer::EngineState, target: &ids::TargetName, is_good: bool) {
+/// Records an outcome of an own target.
+pub fn record_outcome(
+    state: &mut reducer::EngineState,
+    target: &ids::TargetName,
+    is_success: bool,
+) {
     let half_life = settings::millis(state.settings.tunables.health.half_life_ms);
     let health = state.health.own.entry(target.clone()).or_default();
-    health.outcomes.note(is_good, state.now, half_life);
+    health.outcomes.record(is_success, state.now, half_life);
 }
 
-/// Forgets the outcomes of a target that started again.
+/// Discards the outcomes of a target that has restarted.
 pub fn end_incarnation(state: &mut reducer::EngineState, target: &ids::TargetName) {
     state.health.own.shift_remove(target);
 }
 
-/// Takes an event of health.
+/// Handles the result of a health check.
 pub fn handle_event(state: &mut reducer::EngineState, event: HealthEvent) {
     let HealthEvent::Probed { target, is_healthy } = event;
     if !state.membership.targets.contains_key(&target) {
@@ -124,23 +130,23 @@
     health.bad_probes = if is_healthy { 0 } else { health.bad_probes + 1 };
 }
 
-/// Takes the passing of time: probes that are due are made, and targets that left are forgotten.
+/// Starts the health checks that are due, and drops targets that are no longer present.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let own: IndexSet<ids::TargetName> = state.membership.targets.keys().cloned().collect();
     state.health.own.retain(|target, _| own.contains(target));
     for target in own {
-        probe(state, target, output);
+        start_probe(state, target, output);
     }
 }
 
-fn probe(
+fn start_probe(
     state: &mut reducer::EngineState,
     target: ids::TargetName,
     output: &mut event::ReducerOutput,
 ) {
     let record = &state.membership.targets[&target].record;
     let service = state.dissemination.in_force.service(&record.service);
-    let Some(probe) = service.and_then(|service| service.probe.as_ref()) else {
+    let Some(probe_settings) = service.and_then(|service| service.probe.as_ref()) else {
         return;
     };
     let now = state.now;
@@ -148,12 +154,12 @@
     if now < health.next_probe {
         return;
     }
-    let period = Duration::from_millis(u64::from(probe.period_ms));
+    let period = Duration::from_millis(u64::from(probe_settings.period_ms));
     health.next_probe = now + period;
     let plan = ProbePlan {
         target,
         address: record.address,
-        path: probe.path.clone(),
+        path: probe_settings.path.clone(),
         timeout: period,
     };
     output
--- a/crates/engine/src/health/ejection.rs
+++ b/crates/engine/src/health/ejection.rs
@@ -1,13 +1,14 @@
-//! Keeping calls away from targets that fail, for a time and up to a ceiling.
+//! Temporary ejection of failing targets from selection, up to a ceiling.
 //!
-//! An ejected target comes back by itself: after its time it takes one call at a time, and the first
-//! answer decides. Above the ceiling the fault is taken to be elsewhere, and no target is
-//! kept away: too few targets would fail under the load of all.
+//! An ejection ends after a set time. The target then gets one call at a time, and the first answer
+//! decides whether it is ejected again. If more targets would be ejected than the ceiling allows,
+//! none is: the fault is then presumed to lie elsewhere, and the few remaining targets would fail
+//! under the load of all.
 //!
-//! A target whose node could not be connected to is another matter. Nothing runs there, so the ceiling
-//! does not bring it back, and no call is sent there as a last resort; and it costs one call a
-//! quarter of a second to find out that it is back, so it is tried again each second, however long a cut
-//! lasts.
+//! Targets whose node cannot be connected to are treated differently. Nothing runs there, so the
+//! ceiling does not bring them back, and they get no calls as a last resort. A connection attempt
+//! costs one call a quarter of a second, so the target is retried every second, however long a
+//! network partition lasts.
 
 use std::time::Duration;
 
@@ -16,80 +17,82 @@
 
 use crate::{reducer, routing::table, settings};
 
-/// Doublings of the time of an ejection, at most.
-const MOST_DOUBLINGS: u32 = 4;
+/// Upper bound of the number of times that the ejection time is doubled.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// Ejections of one target as one ingress node decides them.
+/// Ejection state of one target on one ingress node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EjectionState {
-    until: Option<time::MonotonicTime>,
-    /// Whether that is because its node could not be connected to.
+    ejected_until: Option<time::MonotonicTime>,
+    /// Whether the ejection is due to a failed connection to the owner node.
     is_connect_failing: bool,
-    in_row: u32,
-    failed_in_row: u32,
+    consecutive_ejections: u32,
+    consecutive_failures: u32,
 }
 
 impl EjectionState {
-    /// Whether calls are kept away.
+    /// Returns whether the target is ejected.
     pub fn is_ejected(&self, now: time::MonotonicTime) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|end| now < end)
     }
 
-    /// Whether it is back from an ejection and has not answered yet.
+    /// Returns whether an ejection has ended and no successful answer has come since.
     pub fn is_on_probation(&self, now: time::MonotonicTime) -> bool {
-        self.until.is_some_and(|until| now >= until)
+        self.ejected_until.is_some_and(|end| now >= end)
     }
 
-    /// Whether calls are kept away because its node could not be connected to.
+    /// Returns whether the target is ejected because its node could not be connected to.
     pub fn is_connect_failing(&self, now: time::MonotonicTime) -> bool {
         self.is_connect_failing && self.is_ejected(now)
     }
 
-    /// Time for which calls are still kept away.
+    /// Returns the remaining time of the ejection.
     fn remaining(&self, now: time::MonotonicTime) -> Duration {
-        self.until.map_or(Duration::ZERO, |until| until.since(now))
+        self.ejected_until
+            .map_or(Duration::ZERO, |end| end.since(now))
     }
 
-    /// Keeps calls away from a target whose node could not be connected to, for half of a first ejection.
-    pub fn record_connect_failure(&mut self, now: time::MonotonicTime, first: Duration) {
+    /// Ejects a target whose node could not be connected to, for half the time of a first ejection.
+    pub fn record_connect_failure(&mut self, now: time::MonotonicTime, base_duration: Duration) {
         if !self.is_ejected(now) {
-            self.until = Some(now + first / 2);
+            self.ejected_until = Some(now + base_duration / 2);
             self.is_connect_failing = true;
         }
     }
 
-    /// Takes an answer whose report holds the target healthy.
+    /// Resets the state after an answer that reports the target as healthy.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Keeps calls away, each time in a row for twice as long.
-    pub fn eject(&mut self, now: time::MonotonicTime, first: Duration) {
+    /// Ejects the target; each consecutive ejection lasts twice as long as the one before.
+    pub fn eject(&mut self, now: time::MonotonicTime, base_duration: Duration) {
         if self.is_ejected(now) {
             return;
         }
-        let doublings = self.in_row.min(MOST_DOUBLINGS);
-        self.until = Some(now + first * (1 << doublings));
+        let doublings = self.consecutive_ejections.min(MAX_DOUBLINGS);
+        self.ejected_until = Some(now + base_duration * (1 << doublings));
         self.is_connect_failing = false;
-        self.in_row += 1;
+        self.consecutive_ejections += 1;
     }
 
-    /// Takes a failure that this process saw itself.
+    /// Records a failure that this process observed itself.
     pub fn record_failure(
         &mut self,
         now: time::MonotonicTime,
-        first: Duration,
+        base_duration: Duration,
         tunables: &settings::HealthTunables,
     ) {
-        self.failed_in_row += 1;
-        let is_trial = self.is_on_probation(now);
-        if is_trial || u64::from(self.failed_in_row) >= tunables.failed_in_row {
-            self.eject(now, first);
+        self.consecutive_failures += 1;
+        let is_on_probation = self.is_on_probation(now);
+        if is_on_probation || u64::from(self.consecutive_failures) >= tunables.failed_in_row {
+            self.eject(now, base_duration);
         }
     }
 }
 
-/// Places, in the service's list, of the targets that are kept out of choice; none in panic mode.
+/// Returns the indexes, in the target list of the service, of the targets to leave out of
+/// selection. Above the ceiling, only those that cannot be connected to are left out.
 pub fn ejected_targets(
     state: &reducer::EngineState,
     service: &ids::EntryName,
@@ -104,27 +107,29 @@
     };
     let targets = state.routing.table.of_service(service).iter().enumerate();
     let permitted = targets.filter(|(_, target)| is_permitted(target));
-    let (unreached, reached): (Vec<_>, Vec<_>) =
+    let (connect_failed, connectable): (Vec<_>, Vec<_>) =
         permitted.partition(|(_, target)| health(target).is_connect_failing(state.now));
-    let place = |(place, _): &(usize, &table::ReadyTarget)| *place;
-    let ejected = reached
+    let index = |(index, _): &(usize, &table::ReadyTarget)| *index;
+    let ejected = connectable
         .iter()
         .filter(|(_, target)| health(target).is_ejected(state.now));
-    let ejected: Vec<usize> = ejected.map(place).collect();
-    let ceiling = state.settings.tunables.health.ejected_percent as usize;
-    let is_above = ejected.len() * 100 > ceiling * reached.len();
-    let ejected = ejected.into_iter().filter(|_| !is_above);
-    ejected.chain(unreached.iter().map(place)).collect()
+    let ejected: Vec<usize> = ejected.map(index).collect();
+    let ceiling_percent = state.settings.tunables.health.ejected_percent as usize;
+    let exceeds_ceiling = ejected.len() * 100 > ceiling_percent * connectable.len();
+    let ejected = ejected.into_iter().filter(|_| !exceeds_ceiling);
+    ejected.chain(connect_failed.iter().map(index)).collect()
 }
 
-/// Shortest time until a target of a service that could not be connected to is tried again; `None` when
-/// there is no such one.
+/// Returns the shortest time until a target of the service that could not be connected to is
+/// retried; `None` if there is no such target.
 pub fn connect_retry_delay(
     state: &reducer::EngineState,
     service: &ids::EntryName,
 ) -> Option<Duration> {
     let targets = state.routing.table.of_service(service).iter();
     let views = targets.filter_map(|target| state.routing.views.get(&target.target));
-    let unreached = views.filter(|view| view.health.is_connect_failing(state.now));
-    unreached.map(|view| view.health.remaining(state.now)).min()
+    let connect_failed = views.filter(|view| view.health.is_connect_failing(state.now));
+    connect_failed
+        .map(|view| view.health.remaining(state.now))
+        .min()
 }
--- a/crates/engine/src/health/outcome.rs
+++ b/crates/engine/src/health/outcome.rs
@@ -1,4 +1,4 @@
-//! Recent outcomes of a target, older ones counting less.
+//! Outcome counts of a target with exponential decay.
 
 use std::time::Duration;
 
@@ -6,55 +6,57 @@
 
 use crate::settings;
 
-/// Less than this many outcomes, after decay, are none.
-const NO_OUTCOMES: f64 = 0.5;
+/// Decayed number of outcomes below which there are too few to judge a target by.
+const MIN_OUTCOMES: f64 = 0.5;
 
-/// Counts of good and failed outcomes that halve over time.
+/// Counts of successful and failed outcomes that decay with a half-life.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct OutcomeWindow {
-    good: f64,
+    succeeded: f64,
     failed: f64,
-    failed_in_row: u32,
-    at: time::MonotonicTime,
+    consecutive_failures: u32,
+    updated_at: time::MonotonicTime,
 }
 
 impl OutcomeWindow {
-    /// Notes an outcome.
-    pub fn note(&mut self, is_good: bool, now: time::MonotonicTime, half_life: Duration) {
-        let share = self.decay(now, half_life);
-        self.good *= share;
-        self.failed *= share;
-        self.at = now;
-        if is_good {
-            self.good += 1.0;
-            self.failed_in_row = 0;
+    /// Records an outcome.
+    pub fn record(&mut self, is_success: bool, now: time::MonotonicTime, half_life: Duration) {
+        let decay = self.decay_factor(now, half_life);
+        self.succeeded *= decay;
+        self.failed *= decay;
+        self.updated_at = now;
+        if is_success {
+            self.succeeded += 1.0;
+            self.consecutive_failures = 0;
         } else {
             self.failed += 1.0;
-            self.failed_in_row += 1;
+            self.consecutive_failures += 1;
         }
     }
 
-    /// Whether there are no outcomes to go by.
+    /// Returns whether there are too few recent outcomes to judge the target by.
     pub fn is_empty(&self, now: time::MonotonicTime, tunables: &settings::HealthTunables) -> bool {
-        let share = self.decay(now, settings::millis(tunables.half_life_ms));
-        self.failed_in_row == 0 && (self.good + self.failed) * share < NO_OUTCOMES
+        let decay = self.decay_factor(now, settings::millis(tunables.half_life_ms));
+        self.consecutive_failures == 0 && (self.succeeded + self.failed) * decay < MIN_OUTCOMES
     }
 
-    /// Whether failures in a row, or their share among enough outcomes, say that it fails.
+    /// Returns whether the target is failing: either enough consecutive failures, or a high enough
+    /// share of failures among enough outcomes.
     pub fn is_failing(
         &self,
         now: time::MonotonicTime,
         tunables: &settings::HealthTunables,
     ) -> bool {
-        let share = self.decay(now, settings::millis(tunables.half_life_ms));
-        let least = tunables.failed_in_row as f64;
-        let is_enough = self.failed * share >= least;
-        let failed_percent = settings::PERCENT * self.failed / (self.good + self.failed).max(1.0);
-        u64::from(self.failed_in_row) >= tunables.failed_in_row
-            || is_enough && failed_percent >= tunables.failed_percent as f64
+        let decay = self.decay_factor(now, settings::millis(tunables.half_life_ms));
+        let min_failed = tunables.failed_in_row as f64;
+        let has_enough_failures = self.failed * decay >= min_failed;
+        let failed_percent =
+            settings::PERCENT * self.failed / (self.succeeded + self.failed).max(1.0);
+        u64::from(self.consecutive_failures) >= tunables.failed_in_row
+            || has_enough_failures && failed_percent >= tunables.failed_percent as f64
     }
 
-    fn decay(&self, now: time::MonotonicTime, half_life: Duration) -> f64 {
-        (-now.since(self.at).as_secs_f64() / half_life.as_secs_f64()).exp2()
+    fn decay_factor(&self, now: time::MonotonicTime, half_life: Duration) -> f64 {
+        (-now.since(self.updated_at).as_secs_f64() / half_life.as_secs_f64()).exp2()
     }
 }
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -1,8 +1,9 @@
-//! Requests that crash the targets that run them.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! The owner node of a crashed target blames every request that was in flight there, and tells
-//! every node. A request blamed for one crash runs alone at a target from then on, so that no
-//! other one is blamed with it again; one blamed for two is refused for a time.
+//! When a target crashes, its owner node attributes the crash to every request that was in flight
+//! there, and tells every other node. A request with one attributed crash runs isolated at a target
+//! from then on, so that no further request has a crash attributed because of it. A request with
+//! two crashes is refused for a time.
 
 use std::time::Duration;
 
@@ -12,83 +13,89 @@
 
 use crate::{event, reducer, settings};
 
-/// Crashes after which a request is refused.
-const MOST_CRASHES: u32 = 2;
-/// Blame for the same target within this time is for the same crash.
-const SAME_CRASH: Duration = Duration::from_millis(250);
+/// Number of crashes from which a request is refused.
+const QUARANTINE_CRASHES: u32 = 2;
+/// Reports of a crash of the same target within this time count as one crash.
+const SAME_CRASH_WINDOW: Duration = Duration::from_millis(250);
 
-/// When a call that could not run alone is to come back, in milliseconds.
+/// Retry delay for a call that could not be isolated, in milliseconds.
 const RETRY_AFTER_MS: u32 = 200;
 
 /// Events of quarantine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuarantineEvent {
-    /// An own target died while it ran a request.
+    /// An own target crashed while it ran a request.
     Crashed(wire::CrashRecord),
 }
 
-/// What is held against a request.
+/// Whether a request is suspected of crashing targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestStanding {
-    /// Nothing.
+    /// No crash is attributed to it.
     Clear,
-    /// It was in flight at one crash: it runs alone.
+    /// It was in flight at one crash, and runs isolated.
     Suspect,
-    /// It was in flight at two: it is refused.
+    /// It was in flight at two crashes, and is refused.
     Quarantined,
 }
 
 #[derive(Debug, Clone)]
-struct BlamedRequest {
+struct CrashingRequest {
     crashes: u32,
     last_target: ids::TargetName,
-    last: time::MonotonicTime,
+    last_crash_at: time::MonotonicTime,
 }
 
-/// State of quarantine.
+/// Quarantine state of this process.
 #[derive(Debug, Clone, Default)]
 pub struct QuarantineState {
-    blamed: IndexMap<wire_ledger::RequestDigest, BlamedRequest>,
-    /// Suspects that run now, by their target.
-    alone: IndexMap<ids::TargetName, ids::CallId>,
+    blamed: IndexMap<wire_ledger::RequestDigest, CrashingRequest>,
+    /// Isolated calls of suspect requests, by the target that runs them.
+    isolated: IndexMap<ids::TargetName, ids::CallId>,
 }
 
 impl QuarantineState {
-    /// Whether a suspect runs at a target, which takes nothing beside it.
-    fn runs_alone(&self, target: &ids::TargetName) -> bool {
-        self.alone.contains_key(target)
+    /// Returns whether a suspect request runs at a target, which then accepts no other call.
+    fn runs_isolated(&self, target: &ids::TargetName) -> bool {
+        self.isolated.contains_key(target)
     }
 
-    /// Notes the end of a call.
+    /// Releases the target of a call that has ended.
     pub fn end_call(&mut self, call: ids::CallId) {
-        if !self.alone.is_empty() {
-            self.alone.retain(|_, alone| *alone != call);
+        if !self.isolated.is_empty() {
+            self.isolated.retain(|_, isolated| *isolated != call);
         }
     }
 
-    fn blame(&mut self, crash: &wire::CrashRecord, now: time::MonotonicTime, most: usize) {
+    fn record_crash(
+        &mut self,
+        crash: &wire::CrashRecord,
+        now: time::MonotonicTime,
+        max_requests: usize,
+    ) {
         if let Some(blamed) = self.blamed.get_mut(&crash.request) {
-            let is_same = blamed.last_target == crash.target && now.since(blamed.last) < SAME_CRASH;
-            if !is_same {
+            let is_same_crash = blamed.last_target == crash.target
+                && now.since(blamed.last_crash_at) < SAME_CRASH_WINDOW;
+            if !is_same_crash {
                 blamed.crashes += 1;
                 blamed.last_target = crash.target.clone();
-                blamed.last = now;
+                blamed.last_crash_at = now;
             }
             return;
         }
-        if self.blamed.len() >= most {
+        if self.blamed.len() >= max_requests {
             self.blamed.shift_remove_index(0);
         }
-        let blamed = BlamedRequest {
+        let blamed = CrashingRequest {
             crashes: 1,
             last_target: crash.target.clone(),
-            last: now,
+            last_crash_at: now,
         };
         self.blamed.insert(crash.request, blamed);
     }
 }
 
-/// What is held against a request now.
+/// Returns the current standing of a request.
 pub fn standing(
     state: &reducer::EngineState,
     request: Option<&wire_ledger::RequestDigest>,
@@ -100,9 +107,9 @@
     let Some(blamed) = blamed else {
         return RequestStanding::Clear;
     };
-    let age = state.now.since(blamed.last);
+    let age = state.now.since(blamed.last_crash_at);
     let tunables = &state.settings.tunables.quarantine;
-    if blamed.crashes >= MOST_CRASHES && age < settings::millis(tunables.refuse_ms) {
+    if blamed.crashes >= QUARANTINE_CRASHES && age < settings::millis(tunables.refuse_ms) {
         RequestStanding::Quarantined
     } else if age < settings::millis(tunables.suspect_ms) {
         RequestStanding::Suspect
@@ -111,14 +118,15 @@
     }
 }
 
-/// Why an offered call is not run at its target now, if it is held off: it crashes targets, or it
-/// would run beside a suspect, or is one and would run beside others.
+/// Checks an offered call before it runs at its target. Returns a refusal if the request is
+/// quarantined, if the target runs an isolated request, or if the request is a suspect and the
+/// target runs others. A suspect that is let through occupies the target until its call ends.
 pub fn check_offer(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     offer: &wire_calls::CallOffer,
 ) -> Option<wire_calls::CallRefusal> {
-    let elsewhere = || {
+    let try_elsewhere = || {
         let code = code::ResultCode::CapacityExceeded;
         let refusal = wire_calls::CallRefusal::not_run(code).elsewhere();
         Some(wire_calls::CallRefusal {
@@ -131,37 +139,39 @@
             let code = code::ResultCode::RequestQuarantined;
             Some(wire_calls::CallRefusal::not_run(code))
         }
-        _ if state.quarantine.runs_alone(&offer.target) => elsewhere(),
+        _ if state.quarantine.runs_isolated(&offer.target) => try_elsewhere(),
         RequestStanding::Clear => None,
         RequestStanding::Suspect => {
             let admission = state.admission.targets.get(&offer.target);
             if admission.is_some_and(|admission| admission.running > 0) {
-                return elsewhere();
+                return try_elsewhere();
             }
-            state.quarantine.alone.insert(offer.target.clone(), call);
+            state.quarantine.isolated.insert(offer.target.clone(), call);
             None
         }
     }
 }
 
-/// Takes the passing of time: old blame is forgotten.
+/// Drops crashes that no longer count.
 pub fn tick(state: &mut reducer::EngineState) {
     let now = state.now;
     let tunables = &state.settings.tunables.quarantine;
-    let longest = settings::millis(tunables.refuse_ms.max(tunables.suspect_ms));
+    let retention = settings::millis(tunables.refuse_ms.max(tunables.suspect_ms));
     let blamed = &mut state.quarantine.blamed;
-    blamed.retain(|_, blamed| now.since(blamed.last) < longest);
+    blamed.retain(|_, blamed| now.since(blamed.last_crash_at) < retention);
 }
 
-/// Takes a crash of an own target, and tells every other node at once.
+/// Records a crash of an own target, and sends it to every other node at once.
 pub fn handle_event(
     state: &mut reducer::EngineState,
     event: QuarantineEvent,
     output: &mut event::ReducerOutput,
 ) {
     let QuarantineEvent::Crashed(crash) = event;
-    let most = state.settings.tunables.quarantine.blamed as usize;
-    state.quarantine.blame(&crash, state.now, most);
+    let max_requests = state.settings.tunables.quarantine.blamed as usize;
+    state
+        .quarantine
+        .record_crash(&crash, state.now, max_requests);
     let crashes = vec![crash];
     let message = wire::QuarantineMessage { crashes };
     for member in state.membership.others() {
@@ -172,10 +182,12 @@
     }
 }
 
-/// Takes what another node tells.
+/// Records the crashes that another node reports.
 pub fn receive(state: &mut reducer::EngineState, message: &wire::QuarantineMessage) {
-    let most = state.settings.tunables.quarantine.blamed as usize;
+    let max_requests = state.settings.tunables.quarantine.blamed as usize;
     for crash in &message.crashes {
-        state.quarantine.blame(crash, state.now, most);
+        state
+            .quarantine
+            .record_crash(crash, state.now, max_requests);
     }
 }
--- a/crates/engine/tests/health.rs
+++ b/crates/engine/tests/health.rs
@@ -1,4 +1,5 @@
-//! Targets that lie, each with the decision about it.
+//! Tests of health decisions, including for targets whose health endpoint contradicts their
+//! answers.
 
 use std::time::Duration;
 
@@ -28,22 +29,22 @@
 /// The node that owns the target.
 struct Owner {
     node: node::NodeReducer,
-    last: u64,
+    last_call: u64,
 }
 
 impl Owner {
     fn new() -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries());
         node.announce(node::target(TARGET, "registru", 10));
-        Self { node, last: 0 }
+        Self { node, last_call: 0 }
     }
 
-    fn run(&mut self, took: Duration, result: calls::RunResult) {
-        self.last += 1;
-        let call = ids::CallId(self.last);
+    fn run(&mut self, duration: Duration, result: calls::RunResult) {
+        self.last_call += 1;
+        let call = ids::CallId(self.last_call);
         let offer = node::offer(TARGET, "registru", "counter");
         self.node.call(calls::CallEvent::Offered { call, offer });
-        self.node.now = self.node.now + took;
+        self.node.now = self.node.now + duration;
         self.node.call(calls::CallEvent::RunEnded { call, result });
     }
 
@@ -90,15 +91,18 @@
         ("sheds", short, done(503), false),
         ("answers", short, done(200), false),
     ];
-    for (case, took, result, expected) in table {
+    for (case, duration, result, expected) in table {
         let mut owner = Owner::new();
         for round in 0..5 {
-            assert!(!owner.is_failing(), "{case}: not before the fifth, {round}");
-            owner.run(took, result);
+            assert!(
+                !owner.is_failing(),
+                "{case}: failing too early, after {round} outcomes"
+            );
+            owner.run(duration, result);
             owner.probe(true);
         }
         let failing = owner.is_failing();
-        assert_eq!(failing, expected, "{case}, while its health page says good");
+        assert_eq!(failing, expected, "{case}, while its health check passes");
     }
 }
 
@@ -109,24 +113,27 @@
         owner.run(Duration::ZERO, calls::RunResult::Done { status: 500 });
         owner.run(Duration::ZERO, calls::RunResult::Done { status: 200 });
     }
-    assert!(owner.is_failing(), "half of many");
+    assert!(owner.is_failing(), "half of 40 outcomes failed");
     let mut owner = Owner::new();
     for number in 0..100 {
         let status = if number % 3 == 0 { 500 } else { 200 };
         owner.run(Duration::ZERO, calls::RunResult::Done { status });
     }
-    assert!(!owner.is_failing(), "a third");
+    assert!(!owner.is_failing(), "a third of 100 outcomes failed");
 }
 
 #[test]
 fn bad_page_alone() {
     let mut owner = Owner::new();
     (0..3).for_each(|_| owner.probe(false));
-    assert!(owner.is_failing(), "there are no outcomes to go by");
+    assert!(owner.is_failing(), "there are no outcomes");
     owner.run(Duration::ZERO, calls::RunResult::Done { status: 200 });
-    assert!(!owner.is_failing(), "a good answer counts for more");
+    assert!(
+        !owner.is_failing(),
+        "a successful answer overrides health checks"
+    );
     owner.node.pass(Duration::from_mins(1));
-    assert!(owner.is_failing(), "until it is long ago");
+    assert!(owner.is_failing(), "the outcome has decayed");
     owner.probe(true);
     assert!(!owner.is_failing());
 }
@@ -145,13 +152,13 @@
             }
         }
     }
-    assert_eq!(probes, 5, "one a second");
+    assert_eq!(probes, 5, "one per second");
 }
 
-/// A node that calls targets elsewhere.
+/// An ingress node with targets on other nodes.
 struct Ingress {
     node: node::NodeReducer,
-    last: u64,
+    last_call: u64,
 }
 
 impl Ingress {
@@ -162,33 +169,34 @@
             let identity = node::identity(&format!("node-{name}"), "brasov-a", "ro-centru");
             node.hear(&identity, 1, vec![node::target(&name, "registru", 10)]);
         }
-        Self { node, last: 0 }
+        Self { node, last_call: 0 }
     }
 
-    /// Makes calls, of which those at the first `failing` targets fail; returns how many did.
+    /// Makes calls, of which those at the first `failing` targets fail; returns the number of
+    /// failed calls.
     fn call(&mut self, count: u32, failing: u32) -> u32 {
         let mut failed = 0;
         for _ in 0..count {
-            self.last += 1;
-            let call = ids::CallId(self.last);
-            let arrival = node::arrival(self.last, "/");
+            self.last_call += 1;
+            let call = ids::CallId(self.last_call);
+            let arrival = node::arrival(self.last_call, "/");
             let effects = self.node.call(calls::CallEvent::Arrived(arrival));
             let [calls::CallEffect::Attempt(_, plan)] = effects.as_slice() else {
                 panic!("there are targets: {effects:?}");
             };
-            let is_bad =
+            let is_failing_target =
                 (0..failing).any(|bad| plan.offer.target.as_str() == format!("registru-{bad}"));
-            failed += u32::from(is_bad);
+            failed += u32::from(is_failing_target);
             let load = wire::LoadReport {
                 in_flight: 1,
                 queued: 0,
                 slots: 10,
                 service_us: 1000,
                 route_us: 1000,
-                is_failing: is_bad,
+                is_failing: is_failing_target,
             };
             let result = calls::AttemptResult::Answered {
-                status: if is_bad { 500 } else { 200 },
+                status: if is_failing_target { 500 } else { 200 },
             };
             let load = Some(load);
             self.node.call(calls::CallEvent::AttemptEnded {
@@ -204,16 +212,17 @@
         failed
     }
 
-    /// Makes one call, which does not reach its first target where that is gone; returns whether it did.
-    fn reach(&mut self, is_gone: impl Fn(&str) -> bool) -> bool {
-        self.last += 1;
-        let call = ids::CallId(self.last);
-        let arrival = node::arrival(self.last, "/");
+    /// Makes one call whose connection fails if its first target satisfies `is_gone`; returns
+    /// whether the target was reached.
+    fn reach(&mut self, is_unreachable: impl Fn(&str) -> bool) -> bool {
+        self.last_call += 1;
+        let call = ids::CallId(self.last_call);
+        let arrival = node::arrival(self.last_call, "/");
         let effects = self.node.call(calls::CallEvent::Arrived(arrival));
         let [calls::CallEffect::Attempt(_, plan)] = effects.as_slice() else {
             panic!("there are targets: {effects:?}");
         };
-        let is_reached = !is_gone(plan.offer.target.as_str());
+        let is_reached = !is_unreachable(plan.offer.target.as_str());
         let result = if is_reached {
             calls::AttemptResult::Answered { status: 200 }
         } else {
@@ -230,13 +239,17 @@
 }
 
 #[test]
-fn ejected_on_first_word() {
+fn ejected_on_first_report() {
     let mut ingress = Ingress::new(4);
-    assert_eq!(ingress.call(100, 1), 1, "one call meets it, then none");
+    assert_eq!(ingress.call(100, 1), 1, "the first report ejects it");
     ingress.node.pass(Duration::from_secs(3));
-    assert_eq!(ingress.call(100, 1), 1, "one trial after the ejection");
+    assert_eq!(
+        ingress.call(100, 1),
+        1,
+        "one probing call after the ejection"
+    );
     ingress.node.pass(Duration::from_secs(3));
-    assert_eq!(ingress.call(100, 1), 0, "the second one is longer");
+    assert_eq!(ingress.call(100, 1), 0, "the second ejection is longer");
     ingress.node.pass(Duration::from_secs(2));
     ingress.call(100, 0);
     ingress.node.pass(Duration::from_secs(1));
@@ -244,30 +257,40 @@
     assert_eq!(
         recovered,
         health::EjectionState::default(),
-        "a good answer clears it"
+        "a healthy report clears it"
     );
 }
 
 #[test]
 fn ceiling_on_ejection() {
     let mut ingress = Ingress::new(4);
-    assert_eq!(ingress.call(200, 2), 2, "half may be kept away");
+    assert_eq!(
+        ingress.call(200, 2),
+        2,
+        "half of the targets may be ejected"
+    );
     let mut ingress = Ingress::new(4);
     let failed = ingress.call(400, 3);
-    assert!(failed > 200, "above the ceiling all take calls: {failed}");
+    assert!(
+        failed > 200,
+        "above the ceiling no target is ejected: {failed}"
+    );
 }
 
 #[test]
-fn unreached_at_once() {
+fn ejected_on_failed_connection() {
     let mut ingress = Ingress::new(2);
-    let is_gone = |target: &str| target == "registru-0";
-    let reached: Vec<bool> = (0..20).map(|_| ingress.reach(is_gone)).collect();
+    let is_unreachable = |target: &str| target == "registru-0";
+    let reached: Vec<bool> = (0..20).map(|_| ingress.reach(is_unreachable)).collect();
     let missed = reached.iter().filter(|reached| !**reached).count();
-    assert!(missed <= 1, "one failed connection is enough: {reached:?}");
+    assert!(
+        missed <= 1,
+        "one failed connection ejects the target: {reached:?}"
+    );
 }
 
-/// Three of four targets are behind a cut. The ceiling does not bring them back into choice: each call there
-/// would wait for a connection in vain.
+/// Three of four targets are behind a network partition. The ceiling must not bring them back into
+/// selection, since each call there would wait for a connection in vain.
 #[test]
 fn cut_off_kept_away() {
     let mut ingress = Ingress::new(4);
@@ -276,10 +299,11 @@
         missed += u32::from(!ingress.reach(|target| target != "registru-3"));
         ingress.node.pass(Duration::from_millis(10));
     }
-    assert!(missed <= 6, "each is tried once a second: {missed}");
+    assert!(missed <= 6, "each is retried once a second: {missed}");
 }
 
-/// With every target behind a cut a call is refused at once, and a second later one finds out.
+/// With every target behind a partition a call is refused at once, and one call a second tries the
+/// connection again.
 #[test]
 fn all_cut_off() {
     let mut ingress = Ingress::new(1);
@@ -307,5 +331,5 @@
         ingress.node.call(calls::CallEvent::Finished(call));
         ingress.node.pass(Duration::from_millis(10));
     }
-    assert_eq!(attempts, [1, 101, 201], "one a second");
+    assert_eq!(attempts, [1, 101, 201], "one per second");
 }
--- a/crates/engine/tests/quarantine.rs
+++ b/crates/engine/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash targets: blame, running alone, quarantine, forgetting.
+//! Tests of quarantine: attribution of crashes, isolation, refusal and expiry.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     node.call(calls::CallEvent::RunEnded { call, result });
 }
 
-fn note(node: &mut node::NodeReducer, crash: wire_quarantine::CrashRecord) {
+fn record_crash(node: &mut node::NodeReducer, crash: wire_quarantine::CrashRecord) {
     let event = quarantine::QuarantineEvent::Crashed(crash);
     node.reduce(event::Event::Quarantine(event));
 }
@@ -54,14 +54,18 @@
 #[test]
 fn suspect_alone() {
     let mut node = reducer();
-    note(&mut node, crash(1, "second"));
-    assert_eq!(offer(&mut node, 10, 2), None, "others run");
-    let refusal = offer(&mut node, 11, 1).expect("not beside another's work");
+    record_crash(&mut node, crash(1, "second"));
+    assert_eq!(offer(&mut node, 10, 2), None, "other requests run");
+    let refusal = offer(&mut node, 11, 1).expect("the target runs another request");
     assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
     assert!(refusal.elsewhere, "another target may be free");
     end(&mut node, 10);
-    assert_eq!(offer(&mut node, 12, 1), None, "the target is free");
-    let refusal = offer(&mut node, 13, 2).expect("nothing runs beside a suspect");
+    assert_eq!(
+        offer(&mut node, 12, 1),
+        None,
+        "the target runs no other request"
+    );
+    let refusal = offer(&mut node, 13, 2).expect("the target runs an isolated request");
     assert!(refusal.elsewhere && refusal.outcome == wire::CallOutcome::NotRun);
     end(&mut node, 12);
     assert_eq!(offer(&mut node, 14, 2), None);
@@ -70,11 +74,15 @@
 #[test]
 fn two_crashes() {
     let mut node = reducer();
-    note(&mut node, crash(1, "second"));
-    note(&mut node, crash(1, "second"));
-    assert_eq!(offer(&mut node, 10, 1), None, "one crash is counted once");
+    record_crash(&mut node, crash(1, "second"));
+    record_crash(&mut node, crash(1, "second"));
+    assert_eq!(
+        offer(&mut node, 10, 1),
+        None,
+        "both reports are of one crash"
+    );
     end(&mut node, 10);
-    note(&mut node, crash(1, "third"));
+    record_crash(&mut node, crash(1, "third"));
     let refusal = offer(&mut node, 11, 1).expect("it crashed two targets");
     assert_eq!(refusal.code, code::ResultCode::RequestQuarantined);
     assert_eq!(
@@ -89,9 +97,9 @@
         [calls::CallEffect::Refuse(_, refusal)]
             if refusal.code == code::ResultCode::RequestQuarantined
     );
-    assert!(refused, "already at its ingress node: {effects:?}");
+    assert!(refused, "refused by the ingress node: {effects:?}");
     node.pass(Duration::from_mins(6));
-    assert_eq!(offer(&mut node, 13, 1), None, "for a time only");
+    assert_eq!(offer(&mut node, 13, 1), None, "the quarantine has expired");
 }
 
 #[test]
@@ -101,18 +109,18 @@
     node.hear(&peer, 1, Vec::new());
     let crashed = quarantine::QuarantineEvent::Crashed(crash(1, "first"));
     let effects = node.reduce(event::Event::Quarantine(crashed));
-    let told = effects.into_iter().find_map(|effect| match effect {
+    let sent = effects.into_iter().find_map(|effect| match effect {
         event::Effect::Send {
             to,
             message: message::PeerMessage::Quarantine(message),
         } if to == peer.address => Some(message),
         _ => None,
     });
-    let told = told.expect("the other node is told");
+    let sent = sent.expect("the crash is sent to the other node");
     let mut other = reducer();
     let from = node::identity("node-1", "brasov-a", "ro-centru");
     for crashed in [
-        told.clone(),
+        sent.clone(),
         wire_quarantine::QuarantineMessage {
             crashes: vec![crash(1, "third")],
         },
