--- a/crates/daemon/src/operators/rollouts.rs
+++ b/crates/daemon/src/operators/rollouts.rs
@@ -47,7 +47,7 @@
     let leader = leader.and_then(|leader| state.membership.at(leader)?.operators);
     RolloutDocument {
         service: entry.name.clone(),
-        elapsed_ms: state.rollout.elapsed(&entry.name, state.now),
+        elapsed_ms: state.rollout.elapsed_ms(&entry.name, state.now),
         entry: entry.clone(),
         versions: versions
             .map(|(version, counts)| VersionDocument {
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -186,7 +186,7 @@
         }
     };
     // A new version on trial gets one try of a call at most.
-    let cohort = request.cohort.after_try();
+    let cohort = request.cohort.after_attempt();
     let now = state.now;
     let most_placements = state.settings.tunables.retry.free_placements as u32;
     if let Some(view) = state.routing.views.get_mut(&candidate.target) {
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -161,7 +161,7 @@
         output.follow(event::Event::Membership(gone));
     }
     let took = state.now.since(started);
-    rollout::note_run(state, offer, took, result);
+    rollout::record_run(state, offer, took, result);
     admission::end_run(state, offer, took, result);
     run_next(state, &offer.target, output);
 }
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -61,7 +61,7 @@
 
 impl RolloutState {
     /// Milliseconds since a service's latest order, where this process saw it.
-    pub fn elapsed(&self, service: &ids::EntryName, now: time::MonotonicTime) -> Option<u64> {
+    pub fn elapsed_ms(&self, service: &ids::EntryName, now: time::MonotonicTime) -> Option<u64> {
         let known = self.known.get(service)?;
         let seen = known.is_from_start.then_some(known.seen)?;
         Some(now.since(seen).as_millis() as u64)
@@ -114,7 +114,7 @@
 }
 
 /// Notes a run of an own target that ended.
-pub fn note_run(
+pub fn record_run(
     state: &mut reducer::EngineState,
     offer: &wire_calls::CallOffer,
     took: Duration,
@@ -159,12 +159,12 @@
         rollout::RolloutPhase::Succeeded | rollout::RolloutPhase::RolledBack => {
             cohort::CallCohort::Any
         }
-        rollout::RolloutPhase::Switched => cohort::CallCohort::Coming,
+        rollout::RolloutPhase::Switched => cohort::CallCohort::New,
         rollout::RolloutPhase::Widening => {
             if state.random.random_bool(share.min(1.0)) {
-                cohort::CallCohort::Coming
+                cohort::CallCohort::New
             } else {
-                cohort::CallCohort::Present
+                cohort::CallCohort::Old
             }
         }
         rollout::RolloutPhase::Trial => {
@@ -172,8 +172,8 @@
             let share = share.min(state.routing.table.max_trial_share(service));
             let is_tried = state.random.random_bool(share.clamp(0.0, 1.0));
             if !is_tried || !is_guided(state, service, within_ms) {
-                cohort::CallCohort::Present
-            } else if state.random.random_bool(cohort::CANARY_PART) {
+                cohort::CallCohort::Old
+            } else if state.random.random_bool(cohort::CANARY_TRIAL_SHARE) {
                 cohort::CallCohort::Canary
             } else {
                 cohort::CallCohort::Reserve
@@ -266,7 +266,7 @@
     let in_force = std::sync::Arc::clone(&state.dissemination.in_force);
     for entry in in_force.rollouts().filter(|entry| entry.phase.is_running()) {
         let evidence = state.rollout.evidence.entry(entry.name.clone());
-        evidence.or_default().weigh(entry, &in_force, span);
+        evidence.or_default().observe(entry, &in_force, span);
         let Some(step) = plan::next_step(&situation(state, entry)) else {
             continue;
         };
@@ -298,7 +298,7 @@
     let known = &state.rollout.known[&entry.name];
     let evidence = &state.rollout.evidence[&entry.name];
     let view = convergence::view(state, known.phase_version);
-    let (nodes, behind) = view.map_or((0, usize::MAX), |view| {
+    let (known_nodes, nodes_behind) = view.map_or((0, usize::MAX), |view| {
         let unreachable = membership::reach::Reachability::Unreachable;
         let behind = view.behind.iter();
         let behind = behind.filter(|node| node.reachability != unreachable);
@@ -310,13 +310,13 @@
         share: f64::from(entry.share_permille) / f64::from(rollout::WHOLE_PERMILLE),
         within: Duration::from_millis(u64::from(entry.within_ms)),
         elapsed: known.is_from_start.then(|| state.now.since(known.seen)),
-        in_phase: state.now.since(known.phase_seen),
+        time_in_phase: state.now.since(known.phase_seen),
         finding: evidence.finding(&entry.to),
-        watched: evidence.watched(),
+        observed: evidence.observed(),
         slots,
-        nodes,
-        behind,
-        present_in_flight: evidence.present_in_flight(
+        known_nodes,
+        nodes_behind,
+        old_in_flight: evidence.old_in_flight(
             &entry.to,
             known.phase_seen + plan::SETTLE_TIME,
             state.now,
--- a/crates/engine/src/rollout/cohort.rs
+++ b/crates/engine/src/rollout/cohort.rs
@@ -16,7 +16,7 @@
 const FEWEST_CANARIES: usize = 2;
 /// Part of the calls on trial that go to the canary targets; the others are spread over the rest
 /// of the new version's, so that each of them is seen.
-pub const CANARY_PART: f64 = 0.8;
+pub const CANARY_TRIAL_SHARE: f64 = 0.8;
 
 /// A target's part in a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -36,13 +36,13 @@
     /// Any: no roll-out goes on.
     Any,
     /// Those of an old version.
-    Present,
+    Old,
     /// The canary targets.
     Canary,
     /// The others of the new version.
     Reserve,
     /// All of the new version.
-    Coming,
+    New,
 }
 
 impl CallCohort {
@@ -50,26 +50,26 @@
     pub fn admits(self, cohort: TargetCohort) -> bool {
         match self {
             Self::Any => true,
-            Self::Present => cohort == TargetCohort::Present,
+            Self::Old => cohort == TargetCohort::Present,
             Self::Canary => cohort == TargetCohort::Canary,
             Self::Reserve => cohort == TargetCohort::Reserve,
-            Self::Coming => cohort != TargetCohort::Present,
+            Self::New => cohort != TargetCohort::Present,
         }
     }
 
     /// Where the call goes when none of these targets can take it.
     pub fn fallback(self) -> Option<Self> {
         match self {
-            Self::Any | Self::Present => None,
-            Self::Canary | Self::Reserve | Self::Coming => Some(Self::Present),
+            Self::Any | Self::Old => None,
+            Self::Canary | Self::Reserve | Self::New => Some(Self::Old),
         }
     }
 
     /// Where its next try may go: a version on trial gets one try of a call at most.
     #[must_use]
-    pub fn after_try(self) -> Self {
+    pub fn after_attempt(self) -> Self {
         match self {
-            Self::Canary | Self::Reserve => Self::Present,
+            Self::Canary | Self::Reserve => Self::Old,
             other => other,
         }
     }
@@ -79,9 +79,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotCount {
     /// Of ready targets of the old versions.
-    pub present: u32,
+    pub old: u32,
     /// Of ready targets of the new version.
-    pub coming: u32,
+    pub new: u32,
 }
 
 impl SlotCount {
@@ -98,9 +98,9 @@
         let mut count = Self::default();
         for target in ready {
             if target.version.as_ref() == Some(&entry.to) {
-                count.coming += target.slots;
+                count.new += target.slots;
             } else {
-                count.present += target.slots;
+                count.old += target.slots;
             }
         }
         count
@@ -160,5 +160,5 @@
 /// Share of the calls with which each canary target has as many as a present one.
 fn trial_share(present: usize, canaries: usize) -> f64 {
     let all = (present + canaries).max(1);
-    canaries as f64 / all as f64 / CANARY_PART
+    canaries as f64 / all as f64 / CANARY_TRIAL_SHARE
 }
--- a/crates/engine/src/rollout/evidence.rs
+++ b/crates/engine/src/rollout/evidence.rs
@@ -52,7 +52,7 @@
     order: ids::CatalogueVersion,
     targets: IndexMap<ids::TargetName, HeldTally>,
     judge: verdict::SequentialJudge,
-    watched: plan::WatchedRuns,
+    observed: plan::ObservedRuns,
 }
 
 /// Runs of one version, as operators read them.
@@ -95,7 +95,7 @@
     }
 
     /// Has the judge weigh what is new.
-    pub fn weigh(
+    pub fn observe(
         &mut self,
         entry: &rollout::RolloutEntry,
         catalogue: &catalogue_state::CatalogueState,
@@ -115,8 +115,8 @@
                 let before = held.weighed.get(&tally.route);
                 let counts = verdict::RunCounts::between(before, tally);
                 match group {
-                    Some(group) => window.note_coming(group, &tally.route, &counts),
-                    None => window.note_present(&tally.route, &counts),
+                    Some(group) => window.record_new_version(group, &tally.route, &counts),
+                    None => window.record_baseline(&tally.route, &counts),
                 }
                 held.weighed.insert(tally.route.clone(), tally.clone());
             }
@@ -129,13 +129,13 @@
             matches!(route, Some(entry::CatalogueEntry::Route(route))
                 if route.idempotent == Some(false))
         };
-        self.judge.weigh(&window, &runs_once);
-        self.watched.note(&window);
+        self.judge.observe(&window, &runs_once);
+        self.observed.record(&window);
     }
 
     /// How much of the new version was seen.
-    pub fn watched(&self) -> plan::WatchedRuns {
-        self.watched
+    pub fn observed(&self) -> plan::ObservedRuns {
+        self.observed
     }
 
     /// What speaks against the new version, if enough does.
@@ -171,7 +171,7 @@
 
     /// Calls at targets of other versions than the new one, as their nodes told after `since`. One that was
     /// not heard since then may have one, unless it has been silent for long.
-    pub fn present_in_flight(
+    pub fn old_in_flight(
         &self,
         to: &ids::SoftwareVersion,
         since: time::MonotonicTime,
--- a/crates/engine/src/rollout/plan.rs
+++ b/crates/engine/src/rollout/plan.rs
@@ -40,7 +40,7 @@
 
 /// Runs of the new version that were weighed.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct WatchedRuns {
+pub struct ObservedRuns {
     /// How many.
     pub runs: f64,
     /// Runs of the old version beside them.
@@ -49,9 +49,9 @@
     pub span: Duration,
 }
 
-impl WatchedRuns {
+impl ObservedRuns {
     /// Adds what a judge has weighed.
-    pub fn note(&mut self, window: &verdict::RunWindow) {
+    pub fn record(&mut self, window: &verdict::RunWindow) {
         let counts = window.coming.values();
         self.runs += counts.map(|counts| counts.answered).sum::<f64>();
         if self.runs > 0.0 {
@@ -83,19 +83,19 @@
     /// Time since the order; absent where this leader cannot know it.
     pub elapsed: Option<Duration>,
     /// Time since the phase came into force here.
-    pub in_phase: Duration,
+    pub time_in_phase: Duration,
     /// What speaks against the new version.
     pub finding: Option<verdict::RolloutFinding>,
     /// How much of the new version was seen.
-    pub watched: WatchedRuns,
+    pub observed: ObservedRuns,
     /// Slots of both versions.
     pub slots: cohort::SlotCount,
     /// Nodes that are known.
-    pub nodes: usize,
+    pub known_nodes: usize,
     /// Those of them that can be reached and do not have the phase in force.
-    pub behind: usize,
+    pub nodes_behind: usize,
     /// Calls that run or wait at old targets.
-    pub present_in_flight: u32,
+    pub old_in_flight: u32,
 }
 
 /// A step to the next phase.
@@ -132,17 +132,17 @@
                 reason,
             })
         }
-        rollout::RolloutPhase::Widening if situation.in_phase >= span.mul_f64(WIDE_PART) => {
-            (situation.behind == 0).then(|| RolloutStep {
+        rollout::RolloutPhase::Widening if situation.time_in_phase >= span.mul_f64(WIDE_PART) => {
+            (situation.nodes_behind == 0).then(|| RolloutStep {
                 phase: rollout::RolloutPhase::Switched,
                 share_permille: rollout::WHOLE_PERMILLE,
                 reason: "nothing found against it at a wider share".into(),
             })
         }
         rollout::RolloutPhase::Switched
-            if situation.in_phase >= SETTLE_TIME
-                && situation.behind == 0
-                && situation.present_in_flight == 0 =>
+            if situation.time_in_phase >= SETTLE_TIME
+                && situation.nodes_behind == 0
+                && situation.old_in_flight == 0 =>
         {
             Some(succeed(
                 "all calls go to it, and the old targets have none left",
@@ -162,34 +162,34 @@
 fn is_watched(situation: &RolloutSituation) -> bool {
     let is_trial = situation.phase == rollout::RolloutPhase::Trial;
     let share = if is_trial { situation.share } else { 0.0 };
-    situation.watched.is_enough(situation.within, share)
+    situation.observed.is_enough(situation.within, share)
 }
 
 fn has_slots(situation: &RolloutSituation) -> bool {
-    let wanted = f64::from(situation.slots.present) * ENOUGH_SLOTS;
-    situation.slots.coming > 0 && f64::from(situation.slots.coming) >= wanted
+    let wanted = f64::from(situation.slots.old) * ENOUGH_SLOTS;
+    situation.slots.new > 0 && f64::from(situation.slots.new) >= wanted
 }
 
 /// How a roll-out ends whose time is over.
 fn last_step(situation: &RolloutSituation) -> RolloutStep {
     let is_switched = situation.phase == rollout::RolloutPhase::Switched;
-    let behind = situation.behind as f64;
-    if is_switched && behind <= situation.nodes as f64 * STRAGGLERS {
+    let nodes_behind = situation.nodes_behind as f64;
+    if is_switched && nodes_behind <= situation.known_nodes as f64 * STRAGGLERS {
         return succeed("all calls go to it");
     }
     if !has_slots(situation) {
         let slots = situation.slots;
         return take_back(format!(
             "its targets have {} slots ready, the old ones {}",
-            slots.coming, slots.present
+            slots.new, slots.old
         ));
     }
     if !is_watched(situation) {
-        let watched = situation.watched;
+        let observed = situation.observed;
         return take_back(format!(
             "only {:.0} of its runs were seen, over {:.1} s",
-            watched.runs,
-            watched.span.as_secs_f64()
+            observed.runs,
+            observed.span.as_secs_f64()
         ));
     }
     take_back("it could not be brought to all nodes in its time".into())
--- a/crates/engine/src/rollout/verdict.rs
+++ b/crates/engine/src/rollout/verdict.rs
@@ -134,12 +134,12 @@
 
 impl RunWindow {
     /// Adds runs of the old version.
-    pub fn note_present(&mut self, route: &ids::EntryName, counts: &RunCounts) {
+    pub fn record_baseline(&mut self, route: &ids::EntryName, counts: &RunCounts) {
         self.present.entry(route.clone()).or_default().add(counts);
     }
 
     /// Adds runs of the new version.
-    pub fn note_coming(&mut self, group: u64, route: &ids::EntryName, counts: &RunCounts) {
+    pub fn record_new_version(&mut self, group: u64, route: &ids::EntryName, counts: &RunCounts) {
         let key = (group, route.clone());
         self.coming.entry(key).or_default().add(counts);
     }
@@ -191,7 +191,7 @@
 /// Weighs runs as they come.
 pub trait VersionJudge {
     /// Weighs the runs of some time; `runs_once` tells routes whose calls cannot be tried again.
-    fn weigh(&mut self, window: &RunWindow, runs_once: &dyn Fn(&ids::EntryName) -> bool);
+    fn observe(&mut self, window: &RunWindow, runs_once: &dyn Fn(&ids::EntryName) -> bool);
 
     /// What speaks against the version, if enough does.
     fn finding(&self) -> Option<RolloutFinding>;
@@ -209,7 +209,7 @@
 }
 
 impl EvidenceSum {
-    fn weigh(
+    fn observe(
         &mut self,
         runs: f64,
         bad: f64,
@@ -308,17 +308,17 @@
             sound: margins.sound + context.margin,
             bad: margins.bad + context.margin,
         };
-        let mut weigh = |kind, (runs, bad): (f64, f64), present_share, bounds| {
+        let mut observe = |kind, (runs, bad): (f64, f64), present_share, bounds| {
             let routes = self.sums.entry((group, kind)).or_default();
             let sum = routes.entry(route.clone()).or_default();
-            sum.weigh(runs, bad, present_share, margins(bounds), context.weight);
+            sum.observe(runs, bad, present_share, margins(bounds), context.weight);
         };
         let failed = (counts.answered, counts.failed);
         let failing = present.failing_share();
-        weigh(FaultKind::Failing, failed, failing, FAILURE_MARGINS);
+        observe(FaultKind::Failing, failed, failing, FAILURE_MARGINS);
         if let Some(from) = present.slow_from() {
             let slow_share = present.slow_share(from);
-            weigh(FaultKind::Slow, counts.slow(from), slow_share, SLOW_MARGINS);
+            observe(FaultKind::Slow, counts.slow(from), slow_share, SLOW_MARGINS);
         }
     }
 
@@ -379,7 +379,7 @@
 }
 
 impl VersionJudge for SequentialJudge {
-    fn weigh(&mut self, window: &RunWindow, runs_once: &dyn Fn(&ids::EntryName) -> bool) {
+    fn observe(&mut self, window: &RunWindow, runs_once: &dyn Fn(&ids::EntryName) -> bool) {
         self.remember_present(window);
         self.canaries = window.canaries;
         let present_runs: f64 = window.present.values().map(|counts| counts.answered).sum();
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -71,20 +71,17 @@
         share: 0.06,
         within: WITHIN,
         elapsed: Some(elapsed),
-        in_phase: elapsed,
+        time_in_phase: elapsed,
         finding: None,
-        watched: plan::WatchedRuns {
+        observed: plan::ObservedRuns {
             runs: 500.0,
             present: 8000.0,
             span: elapsed,
         },
-        slots: cohort::SlotCount {
-            present: 60,
-            coming: 60,
-        },
-        nodes: 20,
-        behind: 0,
-        present_in_flight: 0,
+        slots: cohort::SlotCount { old: 60, new: 60 },
+        known_nodes: 20,
+        nodes_behind: 0,
+        old_in_flight: 0,
     }
 }
 
@@ -110,7 +107,7 @@
     assert_eq!(canaries, 3);
     assert_eq!(count(&all, cohort::TargetCohort::Reserve), 53);
     assert_eq!(count(&all, cohort::TargetCohort::Present), 56);
-    let of_canary = share * cohort::CANARY_PART / canaries as f64;
+    let of_canary = share * cohort::CANARY_TRIAL_SHARE / canaries as f64;
     let of_present = 1.0 / (56.0 + 3.0);
     assert!(
         (of_canary - of_present).abs() < 1e-9,
@@ -165,10 +162,10 @@
 #[test]
 fn second_try_elsewhere() {
     for cohort in [cohort::CallCohort::Canary, cohort::CallCohort::Reserve] {
-        assert_eq!(cohort.after_try(), cohort::CallCohort::Present);
-        assert_eq!(cohort.fallback(), Some(cohort::CallCohort::Present));
+        assert_eq!(cohort.after_attempt(), cohort::CallCohort::Old);
+        assert_eq!(cohort.fallback(), Some(cohort::CallCohort::Old));
     }
-    assert_eq!(cohort::CallCohort::Present.fallback(), None);
+    assert_eq!(cohort::CallCohort::Old.fallback(), None);
 }
 
 #[test]
@@ -211,24 +208,21 @@
 fn calls_left_first() {
     let switched = rollout::RolloutPhase::Switched;
     let busy = plan::RolloutSituation {
-        present_in_flight: 3,
+        old_in_flight: 3,
         ..situation(switched, Duration::from_secs(11))
     };
     assert_eq!(next_phase(&busy), None);
-    let behind = plan::RolloutSituation {
-        behind: 1,
+    let nodes_behind = plan::RolloutSituation {
+        nodes_behind: 1,
         ..situation(switched, Duration::from_secs(11))
     };
-    assert_eq!(next_phase(&behind), None);
+    assert_eq!(next_phase(&nodes_behind), None);
 }
 
 #[test]
 fn slots_missing_told() {
     let late = plan::RolloutSituation {
-        slots: cohort::SlotCount {
-            present: 60,
-            coming: 12,
-        },
+        slots: cohort::SlotCount { old: 60, new: 12 },
         ..situation(rollout::RolloutPhase::Trial, Duration::from_secs_f64(11.7))
     };
     let step = plan::next_step(&late).expect("its time is over");
@@ -313,7 +307,7 @@
     let mut evidence = evidence::RolloutEvidence::default();
     evidence.take(tally("t-1", 1, 0), at(900));
     let left = |evidence: &evidence::RolloutEvidence, now| {
-        evidence.present_in_flight(&version("v2"), at(1000), at(now))
+        evidence.old_in_flight(&version("v2"), at(1000), at(now))
     };
     assert_eq!(left(&evidence, 1200), 1, "it may have got a call since");
     evidence.take(tally("t-1", 2, 2), at(1300));
@@ -329,7 +323,7 @@
 fn unseen_not_widened() {
     let trial = rollout::RolloutPhase::Trial;
     let at = |seconds, runs, span| plan::RolloutSituation {
-        watched: plan::WatchedRuns {
+        observed: plan::ObservedRuns {
             runs,
             present: runs * 16.0,
             span: Duration::from_secs_f64(span),
@@ -358,7 +352,7 @@
 fn starved_canaries_not_widened() {
     let trial = rollout::RolloutPhase::Trial;
     let starved = plan::RolloutSituation {
-        watched: plan::WatchedRuns {
+        observed: plan::ObservedRuns {
             runs: 60.0,
             present: 8000.0,
             span: Duration::from_secs(8),
--- a/crates/testkit/src/rollouts.rs
+++ b/crates/testkit/src/rollouts.rs
@@ -176,7 +176,7 @@
         let mut phase = rollout::RolloutPhase::Trial;
         let mut in_force = (phase, Duration::ZERO);
         let mut share = 0.0;
-        let mut watched = plan::WatchedRuns::default();
+        let mut observed = plan::ObservedRuns::default();
         while now < within {
             now += LOOK;
             let is_in_force = now >= in_force.1 + CONVERGENCE;
@@ -188,23 +188,23 @@
                 continue;
             }
             self.judge
-                .weigh(&window, &|route| route.as_str() == "issue");
-            watched.note(&window);
+                .observe(&window, &|route| route.as_str() == "issue");
+            observed.record(&window);
             let situation = plan::RolloutSituation {
                 phase,
                 share,
                 within,
                 elapsed: Some(now),
-                in_phase: now.saturating_sub(in_force.1),
+                time_in_phase: now.saturating_sub(in_force.1),
                 finding: self.judge.finding(),
-                watched,
+                observed,
                 slots: cohort::SlotCount {
-                    present: self.scene.targets as u32,
-                    coming: self.scene.targets as u32,
+                    old: self.scene.targets as u32,
+                    new: self.scene.targets as u32,
                 },
-                nodes: 2 * self.scene.targets,
-                behind: usize::from(!is_in_force),
-                present_in_flight: 0,
+                known_nodes: 2 * self.scene.targets,
+                nodes_behind: usize::from(!is_in_force),
+                old_in_flight: 0,
             };
             if let Some(step) = plan::next_step(&situation) {
                 phase = step.phase;
@@ -221,7 +221,7 @@
         let canaries = cohort::canary_count(self.scene.targets) as f64;
         match phase {
             rollout::RolloutPhase::Trial => {
-                let most = canaries / (targets + canaries) / cohort::CANARY_PART;
+                let most = canaries / (targets + canaries) / cohort::CANARY_TRIAL_SHARE;
                 most.min(TRIAL_SHARE)
             }
             rollout::RolloutPhase::Widening => 0.3,
@@ -251,7 +251,8 @@
             let place_of_route = usize::from(!is_first);
             let route = ROUTES[place_of_route];
             let is_new = self.random.random_bool(share);
-            let place = if is_new && is_trial && self.random.random_bool(cohort::CANARY_PART) {
+            let place = if is_new && is_trial && self.random.random_bool(cohort::CANARY_TRIAL_SHARE)
+            {
                 self.random.random_range(0..canaries)
             } else {
                 self.random.random_range(0..self.scene.targets)
@@ -267,9 +268,9 @@
                 } else {
                     canaries as u64 + place as u64 % RESERVE_GROUPS
                 };
-                window.note_coming(group, name, &counts);
+                window.record_new_version(group, name, &counts);
             } else {
-                window.note_present(name, &counts);
+                window.record_baseline(name, &counts);
             }
         }
         window
