--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -1,10 +1,11 @@
-//! Roll-outs: a service's calls move to targets of another version, or are taken back.
+//! Rollouts: moving the calls of a service to targets of a new version, or rolling them back.
 //!
-//! The order and each phase are entries of the replicated log, so a new leader goes on where the
-//! old one was. A node obeys the phase that it has in force: it draws for each call whether the new
-//! version may take it, which needs no memory and no agreement between nodes, and it refuses what
-//! is offered to a version that was taken back. Counts of runs go to the leader, which compares
-//! both versions over the same seconds and decides.
+//! The order and each phase are entries of the replicated log, so a new leader continues where the
+//! old one stopped. A node follows the phase in its catalogue version in force. For each call it
+//! draws at random whether the new version may take it, which needs neither stored state nor
+//! coordination between nodes, and it refuses offers to a version that was rolled back. Nodes
+//! report run counts to the leader, which compares both versions over the same period and decides
+//! on the next phase.
 
 pub mod cohort;
 pub mod evidence;
@@ -25,64 +26,67 @@
     routing::table, timeline,
 };
 
-/// Time between two looks of the leader at the evidence.
-const JUDGE_PERIOD: Duration = Duration::from_millis(250);
-/// Time after which a step that was proposed and did not come into force is proposed again.
-const STEP_PATIENCE: Duration = Duration::from_secs(1);
+/// Interval at which the leader evaluates the evidence.
+const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
+/// Delay after which the leader proposes a step again that has not come into force.
+const STEP_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What this process knows of a service's roll-out beside its entry.
+/// Local state of a service's rollout, in addition to its catalogue entry.
 #[derive(Debug, Clone)]
-struct KnownRollout {
+struct LocalRollout {
     order: ids::CatalogueVersion,
     phase: rollout::RolloutPhase,
-    /// When it was first seen here.
-    seen: time::MonotonicTime,
-    /// When its phase was first seen here, and in which version.
-    phase_seen: time::MonotonicTime,
+    /// Time at which this process first saw the rollout.
+    first_seen_at: time::MonotonicTime,
+    /// Time at which this process first saw the current phase, and the catalogue version that
+    /// contained it.
+    phase_seen_at: time::MonotonicTime,
     phase_version: ids::CatalogueVersion,
-    /// Whether this process saw its beginning, so that it knows how long it has gone on.
-    is_from_start: bool,
-    /// When the leader proposed its next step.
-    proposed: Option<time::MonotonicTime>,
+    /// Whether this process saw the start of the rollout, so that it knows the elapsed time.
+    has_seen_start: bool,
+    /// Time at which the leader proposed the next step.
+    proposed_at: Option<time::MonotonicTime>,
 }
 
-/// State of roll-outs.
+/// State of the rollouts.
 #[derive(Debug, Clone, Default)]
 pub struct RolloutState {
-    /// Runs of own targets.
+    /// Run counts of the own targets.
     pub tallies: tally::TallyTable,
-    /// Runs of all targets, at the leader.
+    /// On the leader: run counts of all targets, by service.
     pub evidence: IndexMap<ids::EntryName, evidence::RolloutEvidence>,
-    known: IndexMap<ids::EntryName, KnownRollout>,
-    /// Version that `known` was read from; absent before the first look.
-    read: Option<ids::CatalogueVersion>,
-    judged: time::MonotonicTime,
+    known: IndexMap<ids::EntryName, LocalRollout>,
+    /// Catalogue version that `known` was read from; `None` before the first read.
+    read_version: Option<ids::CatalogueVersion>,
+    evaluated_at: time::MonotonicTime,
 }
 
 impl RolloutState {
-    /// Milliseconds since a service's latest order, where this process saw it.
+    /// Returns the milliseconds since a service's latest order; `None` if this process did not see
+    /// it start.
     pub fn elapsed_ms(&self, service: &ids::EntryName, now: time::MonotonicTime) -> Option<u64> {
         let known = self.known.get(service)?;
-        let seen = known.is_from_start.then_some(known.seen)?;
-        Some(now.since(seen).as_millis() as u64)
+        let first_seen_at = known.has_seen_start.then_some(known.first_seen_at)?;
+        Some(now.since(first_seen_at).as_millis() as u64)
     }
 }
 
-/// Takes the passing of time.
+/// Reports run counts and, on the leader, evaluates the rollouts.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     refresh(state, output);
     if state.rollout.known.is_empty() {
         return;
     }
     tally::report(state, output);
-    if state.now.since(state.rollout.judged) >= JUDGE_PERIOD {
-        let span = state.now.since(state.rollout.judged);
-        state.rollout.judged = state.now;
-        judge(state, span, output);
+    if state.now.since(state.rollout.evaluated_at) >= EVALUATION_PERIOD {
+        let window_span = state.now.since(state.rollout.evaluated_at);
+        state.rollout.evaluated_at = state.now;
+        evaluate(state, window_span, output);
     }
 }
 
-/// Takes tallies of other processes' targets: the leader keeps them, another control passes them on.
+/// Handles run counts of other processes' targets: the leader records them, any other control
+/// forwards them to the leader once.
 pub fn receive(
     state: &mut reducer::EngineState,
     message: wire::RolloutMessage,
@@ -99,7 +103,7 @@
                 is_passed_on: true,
                 ..message
             };
-            output.send(leader, message_of(message));
+            output.send(leader, peer_message(message));
         }
         return;
     }
@@ -107,13 +111,13 @@
         let entry = state.dissemination.in_force.rollout(&tally.service);
         if entry.is_some_and(|entry| entry.order == tally.order && entry.phase.is_running()) {
             let evidence = &mut state.rollout.evidence;
-            let of_service = evidence.entry(tally.service.clone()).or_default();
-            of_service.take(tally, state.now);
+            let service_evidence = evidence.entry(tally.service.clone()).or_default();
+            service_evidence.record_tally(tally, state.now);
         }
     }
 }
 
-/// Notes a run of an own target that ended.
+/// Counts a completed run of an own target.
 pub fn record_run(
     state: &mut reducer::EngineState,
     offer: &wire_calls::CallOffer,
@@ -123,29 +127,32 @@
     let Some(entry) = state.dissemination.in_force.rollout(&offer.service) else {
         return;
     };
-    let Some(own) = state.membership.targets.get(&offer.target) else {
+    let Some(own_target) = state.membership.targets.get(&offer.target) else {
         return;
     };
-    // A target that has just started is slow, whatever its version.
-    let began_warm = own.warm_at + took <= state.now;
-    if entry.phase.is_running() && began_warm {
-        let version = own.record.version.as_ref();
+    // A target that has just started is slow whatever its version, so its first runs do not count.
+    let started_warm = own_target.warm_at + took <= state.now;
+    if entry.phase.is_running() && started_warm {
+        let version = own_target.record.version.as_ref();
         let tallies = &mut state.rollout.tallies;
-        let target = tallies.of_target(&offer.target, entry, version);
-        target.note(&offer.route, took, result);
+        let target = tallies.target_tally(&offer.target, entry, version);
+        target.record(&offer.route, took, result);
     }
 }
 
-/// Whether an own target is of a version whose roll-out was taken back.
-pub fn is_rolled_back(state: &reducer::EngineState, own: &membership::OwnTarget) -> bool {
-    let entry = state.dissemination.in_force.rollout(&own.record.service);
+/// Returns whether an own target runs a version that was rolled back.
+pub fn is_rolled_back(state: &reducer::EngineState, own_target: &membership::OwnTarget) -> bool {
+    let entry = state
+        .dissemination
+        .in_force
+        .rollout(&own_target.record.service);
     entry.is_some_and(|entry| {
         entry.phase == rollout::RolloutPhase::RolledBack
-            && own.record.version.as_ref() == Some(&entry.to)
+            && own_target.record.version.as_ref() == Some(&entry.to)
     })
 }
 
-/// Draws which of a service's targets a call may go to.
+/// Draws the cohort of a service's targets that a call may go to.
 pub fn draw_cohort(
     state: &mut reducer::EngineState,
     service: &ids::EntryName,
@@ -170,8 +177,8 @@
         rollout::RolloutPhase::Trial => {
             table::refresh(state);
             let share = share.min(state.routing.table.max_trial_share(service));
-            let is_tried = state.random.random_bool(share.clamp(0.0, 1.0));
-            if !is_tried || !is_guided(state, service, within_ms) {
+            let is_trial_call = state.random.random_bool(share.clamp(0.0, 1.0));
+            if !is_trial_call || !may_continue_trial(state, service, within_ms) {
                 cohort::CallCohort::Old
             } else if state.random.random_bool(cohort::CANARY_TRIAL_SHARE) {
                 cohort::CallCohort::Canary
@@ -182,40 +189,45 @@
     }
 }
 
-/// Whether somebody watches a trial: one that has outlasted its time here, or whose controls
-/// cannot be reached, gets no more calls.
-fn is_guided(state: &reducer::EngineState, service: &ids::EntryName, within_ms: u32) -> bool {
-    let longest = Duration::from_millis(u64::from(within_ms));
+/// Returns whether a trial may receive calls: its time limit has not passed on this node, and a
+/// control is reachable. Otherwise nobody would roll back a bad version.
+fn may_continue_trial(
+    state: &reducer::EngineState,
+    service: &ids::EntryName,
+    within_ms: u32,
+) -> bool {
+    let time_limit = Duration::from_millis(u64::from(within_ms));
     let known = state.rollout.known.get(service);
-    let is_over = known.is_some_and(|known| state.now.since(known.seen) > longest);
+    let has_expired = known.is_some_and(|known| state.now.since(known.first_seen_at) > time_limit);
     let mut controls = state
         .membership
         .others()
         .map(|member| &member.record.identity)
         .filter(|identity| identity.is_control);
-    let own = &state.settings.identity;
-    let is_reachable = own.is_control
+    let identity = &state.settings.identity;
+    let is_reachable = identity.is_control
         || controls.any(|identity| state.membership.is_reachable(&identity.instance));
-    !is_over && is_reachable
+    !has_expired && is_reachable
 }
 
-/// Notes the roll-outs of the version in force, and when each phase began here.
+/// Updates the known rollouts from the catalogue in force, and records when each phase began
+/// locally.
 fn refresh(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let in_force = std::sync::Arc::clone(&state.dissemination.in_force);
-    let is_first = state.rollout.read.is_none();
-    if state.rollout.read.replace(in_force.version) == Some(in_force.version) {
+    let is_first_read = state.rollout.read_version.is_none();
+    if state.rollout.read_version.replace(in_force.version) == Some(in_force.version) {
         return;
     }
-    let mut known: IndexMap<ids::EntryName, KnownRollout> = IndexMap::new();
+    let mut known: IndexMap<ids::EntryName, LocalRollout> = IndexMap::new();
     let is_recovered = |order| {
         let replication = state.replication.as_ref();
         replication.is_some_and(|replication| replication.is_recovered(order))
     };
     for entry in in_force.rollouts() {
-        let before = state.rollout.known.get(&entry.name);
-        let before = before.filter(|before| before.order == entry.order);
-        let is_news = before.is_none_or(|before| before.phase != entry.phase);
-        if is_news {
+        let previous = state.rollout.known.get(&entry.name);
+        let previous = previous.filter(|previous| previous.order == entry.order);
+        let is_new_phase = previous.is_none_or(|previous| previous.phase != entry.phase);
+        if is_new_phase {
             output.note(timeline::TimelineEvent::RolloutAdvanced {
                 service: entry.name.clone(),
                 to: entry.to.clone(),
@@ -223,74 +235,80 @@
                 reason: entry.reason.clone(),
             });
         }
-        let fresh = KnownRollout {
+        let new_state = LocalRollout {
             order: entry.order,
             phase: entry.phase,
-            seen: state.now,
-            phase_seen: state.now,
+            first_seen_at: state.now,
+            phase_seen_at: state.now,
             phase_version: in_force.version,
-            is_from_start: !is_first
+            has_seen_start: !is_first_read
                 && entry.phase == rollout::RolloutPhase::Trial
                 && !is_recovered(entry.order),
-            proposed: None,
+            proposed_at: None,
         };
-        let now_known = match before {
-            Some(before) if !is_news => before.clone(),
-            Some(before) => KnownRollout {
-                seen: before.seen,
-                is_from_start: before.is_from_start,
-                ..fresh
+        let current = match previous {
+            Some(previous) if !is_new_phase => previous.clone(),
+            Some(previous) => LocalRollout {
+                first_seen_at: previous.first_seen_at,
+                has_seen_start: previous.has_seen_start,
+                ..new_state
             },
-            None => fresh,
+            None => new_state,
         };
-        known.insert(entry.name.clone(), now_known);
+        known.insert(entry.name.clone(), current);
     }
     let running = |service: &ids::EntryName| {
         let entry = in_force.rollout(service);
         entry.filter(|entry| entry.phase.is_running())
     };
-    state.rollout.tallies.keep_running(running);
+    state.rollout.tallies.retain_running(running);
     state.rollout.evidence.retain(|service, evidence| {
-        running(service).is_some_and(|entry| evidence.is_of(entry.order))
+        running(service).is_some_and(|entry| evidence.belongs_to(entry.order))
     });
     state.rollout.known = known;
 }
 
-/// At the leader: looks at the evidence of each roll-out under way and moves it on.
-fn judge(state: &mut reducer::EngineState, span: Duration, output: &mut event::ReducerOutput) {
-    let leads = |replication: &replication::ReplicationState| replication.led_term().is_some();
-    if !state.replication.as_ref().is_some_and(leads) || !replication::is_proven_current(state) {
-        // Another one judges; what was heard here does not count as its evidence.
+/// On the leader: evaluates the evidence of each running rollout and proposes its next step.
+fn evaluate(
+    state: &mut reducer::EngineState,
+    window_span: Duration,
+    output: &mut event::ReducerOutput,
+) {
+    let is_leader = |replication: &replication::ReplicationState| replication.led_term().is_some();
+    if !state.replication.as_ref().is_some_and(is_leader) || !replication::is_proven_current(state)
+    {
+        // Another process is the leader. Evidence collected here may be incomplete, so it is
+        // discarded.
         return state.rollout.evidence.clear();
     }
     let in_force = std::sync::Arc::clone(&state.dissemination.in_force);
     for entry in in_force.rollouts().filter(|entry| entry.phase.is_running()) {
         let evidence = state.rollout.evidence.entry(entry.name.clone());
-        evidence.or_default().observe(entry, &in_force, span);
-        let Some(step) = plan::next_step(&situation(state, entry)) else {
+        evidence.or_default().observe(entry, &in_force, window_span);
+        let Some(decision) = plan::next_step(&situation(state, entry)) else {
             continue;
         };
         let now = state.now;
         let Some(known) = state.rollout.known.get_mut(&entry.name) else {
             continue;
         };
-        let is_pending = |at: time::MonotonicTime| now.since(at) < STEP_PATIENCE;
-        if known.proposed.is_some_and(is_pending) {
+        let is_pending = |at: time::MonotonicTime| now.since(at) < STEP_RETRY_DELAY;
+        if known.proposed_at.is_some_and(is_pending) {
             continue;
         }
-        known.proposed = Some(now);
-        let elapsed = now.since(known.seen);
-        let next = entry.in_phase(step.phase, step.share_permille, step.reason);
-        let step = replication::RolloutMove {
-            entry: next.with_old_versions(seen_versions(state, &entry.name)),
+        known.proposed_at = Some(now);
+        let elapsed = now.since(known.first_seen_at);
+        let next = entry.in_phase(decision.phase, decision.share_permille, decision.reason);
+        let proposal = replication::RolloutMove {
+            entry: next.with_old_versions(known_versions(state, &entry.name)),
             elapsed,
         };
-        let steer = replication::ReplicationEvent::Steer(Box::new(step));
-        output.follow(event::Event::Replication(steer));
+        let proposal_event = replication::ReplicationEvent::Steer(Box::new(proposal));
+        output.follow(event::Event::Replication(proposal_event));
     }
 }
 
-/// What the next step of a roll-out is decided on.
+/// Collects the inputs for the next step of a rollout.
 fn situation(
     state: &reducer::EngineState,
     entry: &rollout::RolloutEntry,
@@ -309,8 +327,10 @@
         phase: entry.phase,
         share: f64::from(entry.share_permille) / f64::from(rollout::WHOLE_PERMILLE),
         within: Duration::from_millis(u64::from(entry.within_ms)),
-        elapsed: known.is_from_start.then(|| state.now.since(known.seen)),
-        time_in_phase: state.now.since(known.phase_seen),
+        elapsed: known
+            .has_seen_start
+            .then(|| state.now.since(known.first_seen_at)),
+        time_in_phase: state.now.since(known.phase_seen_at),
         finding: evidence.finding(&entry.to),
         observed: evidence.observed(),
         slots,
@@ -318,14 +338,14 @@
         nodes_behind,
         old_in_flight: evidence.old_in_flight(
             &entry.to,
-            known.phase_seen + plan::SETTLE_TIME,
+            known.phase_seen_at + plan::SETTLE_TIME,
             state.now,
         ),
     }
 }
 
-/// Versions of a service's targets that this process knows of, by gossip or by their tallies.
-fn seen_versions(
+/// Returns the versions of a service's targets known to this process from gossip or run counts.
+fn known_versions(
     state: &reducer::EngineState,
     service: &ids::EntryName,
 ) -> Vec<ids::SoftwareVersion> {
@@ -333,21 +353,22 @@
         .membership
         .present()
         .flat_map(|member| &member.targets);
-    let told = targets
+    let announced = targets
         .filter(|target| target.service == *service)
         .filter_map(|target| target.version.clone());
-    let tallied = state.rollout.evidence.get(service);
-    let tallied = tallied.map(evidence::RolloutEvidence::by_version);
-    let tallied = tallied.into_iter().flatten();
-    told.chain(tallied.filter_map(|(version, _)| version))
+    let reported = state.rollout.evidence.get(service);
+    let reported = reported.map(evidence::RolloutEvidence::by_version);
+    let reported = reported.into_iter().flatten();
+    announced
+        .chain(reported.filter_map(|(version, _)| version))
         .collect()
 }
 
-/// Calls at an own target that run or wait.
+/// Returns the number of calls that run or wait at an own target.
 fn in_flight(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
     admission::in_use(state, target)
 }
 
-fn message_of(message: wire::RolloutMessage) -> hazeltiller_wire::message::PeerMessage {
+fn peer_message(message: wire::RolloutMessage) -> hazeltiller_wire::message::PeerMessage {
     hazeltiller_wire::message::PeerMessage::Rollout(message)
 }
--- a/crates/engine/src/rollout/cohort.rs
+++ b/crates/engine/src/rollout/cohort.rs
@@ -1,8 +1,8 @@
-//! Which targets of a service a call may go to while a roll-out goes on.
+//! Cohorts of a service's targets during a rollout.
 //!
-//! The load that this answers: a version that fails only when it is busy. So a few canary targets
-//! get as many calls as an old target does, instead of all new ones a trickle. Which ones they are
-//! follows from their names and the order, so every node takes the same ones.
+//! A version may fail only under load. A few canary targets therefore get as many calls as an old
+//! target does, instead of every new target getting a trickle. The canaries follow from the target
+//! names and the rollout order, so every node chooses the same ones.
 
 use hazeltiller_catalogue::rollout;
 use hazeltiller_units::ids;
@@ -10,43 +10,44 @@
 
 use crate::{membership::table as members, reducer, routing::table};
 
-/// Canary targets for each present one.
-const CANARIES_PER_TARGET: f64 = 0.055;
-/// Fewest canary targets: the fault of one machine has to be told from one of the version.
-const FEWEST_CANARIES: usize = 2;
-/// Part of the calls on trial that go to the canary targets; the others are spread over the rest
-/// of the new version's, so that each of them is seen.
+/// Canary targets per old target.
+const CANARIES_PER_OLD_TARGET: f64 = 0.055;
+/// Minimum number of canary targets: with a single one, a fault of the machine could not be told
+/// from a fault of the version.
+const MIN_CANARIES: usize = 2;
+/// Share of the trial calls that go to the canary targets. The rest is spread over the other new
+/// targets, so that each of them is observed.
 pub const CANARY_TRIAL_SHARE: f64 = 0.8;
 
-/// A target's part in a roll-out.
+/// The role of a target in a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetCohort {
-    /// It is of an old version, or there is no roll-out.
+    /// Runs an old version, or the service has no rollout.
     Present,
-    /// It is of the new version and takes a full target's calls while that is on trial.
+    /// Runs the new version, and gets as many calls as an old target during the trial.
     Canary,
-    /// It is of the new version.
+    /// Runs the new version, and is not a canary.
     Reserve,
 }
 
-/// Targets that a call may go to.
+/// The set of targets that a call may go to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallCohort {
-    /// Any: no roll-out goes on.
+    /// Any target; no rollout is running.
     Any,
-    /// Those of an old version.
+    /// Targets of an old version.
     Old,
-    /// The canary targets.
+    /// Canary targets.
     Canary,
-    /// The others of the new version.
+    /// Targets of the new version that are not canaries.
     Reserve,
-    /// All of the new version.
+    /// All targets of the new version.
     New,
 }
 
 impl CallCohort {
-    /// Whether a target may take the call.
+    /// Returns whether a target may take the call.
     pub fn admits(self, cohort: TargetCohort) -> bool {
         match self {
             Self::Any => true,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Where the call goes when none of these targets can take it.
+    /// Returns the cohort that the call goes to if no target of this one can take it.
     pub fn fallback(self) -> Option<Self> {
         match self {
             Self::Any | Self::Old => None,
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Where its next try may go: a version on trial gets one try of a call at most.
+    /// Returns the cohort for the next attempt: a version on trial gets at most one attempt of a
+    /// call.
     #[must_use]
     pub fn after_attempt(self) -> Self {
         match self {
@@ -75,17 +77,17 @@
     }
 }
 
-/// Slots of both versions over the fleet.
+/// Slots of both versions over the whole fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotCount {
-    /// Of ready targets of the old versions.
+    /// Slots of the ready targets of the old versions.
     pub old: u32,
-    /// Of ready targets of the new version.
+    /// Slots of the ready targets of the new version.
     pub new: u32,
 }
 
 impl SlotCount {
-    /// Slots of a roll-out's service, as this process knows them.
+    /// Counts the slots of a rollout's service as known to this process.
     pub fn of(state: &reducer::EngineState, entry: &rollout::RolloutEntry) -> Self {
         let targets = state
             .membership
@@ -107,11 +109,11 @@
     }
 }
 
-/// Sets the cohorts of a service's ready targets by its latest roll-out and takes out those that
-/// may not be used; returns the largest share of calls that a trial can carry.
+/// Assigns the ready targets of a service to cohorts according to its latest rollout, and removes
+/// those that must not be used. Returns the largest share of calls that a trial can carry.
 pub fn assign(entry: &rollout::RolloutEntry, targets: &mut Vec<table::ReadyTarget>) -> f64 {
     let is_new = |target: &table::ReadyTarget| target.version.as_ref() == Some(&entry.to);
-    // One that does not tell its version was there before versions were told.
+    // A target without a version was deployed before versions were announced, so it is old.
     let is_old = |target: &table::ReadyTarget| {
         let version = target.version.as_ref();
         version.is_none_or(|version| entry.from.contains(version))
@@ -122,7 +124,8 @@
             return 0.0;
         }
         rollout::RolloutPhase::Succeeded => {
-            // Old targets stop; while there is nothing else they are still better than none.
+            // Old targets are about to stop, but are better than none while no other target is
+            // ready.
             if targets.iter().any(|target| !is_old(target)) {
                 targets.retain(|target| !is_old(target));
             }
@@ -132,33 +135,33 @@
         | rollout::RolloutPhase::Widening
         | rollout::RolloutPhase::Switched => {}
     }
-    let present = targets.iter().filter(|target| !is_new(target)).count();
-    let canaries = canary_count(present);
-    let mut coming: Vec<&mut table::ReadyTarget> =
+    let old_count = targets.iter().filter(|target| !is_new(target)).count();
+    let canaries = canary_count(old_count);
+    let mut new_targets: Vec<&mut table::ReadyTarget> =
         targets.iter_mut().filter(|target| is_new(target)).collect();
-    coming.sort_by_cached_key(|target| canary_rank(entry.order, &target.target));
-    for (rank, target) in coming.iter_mut().enumerate() {
+    new_targets.sort_by_cached_key(|target| canary_rank(entry.order, &target.target));
+    for (rank, target) in new_targets.iter_mut().enumerate() {
         target.cohort = if rank < canaries {
             TargetCohort::Canary
         } else {
             TargetCohort::Reserve
         };
     }
-    trial_share(present, canaries.min(coming.len()))
+    max_trial_share(old_count, canaries.min(new_targets.len()))
 }
 
-/// Canary targets beside so many present ones.
-pub fn canary_count(present: usize) -> usize {
-    ((present as f64 * CANARIES_PER_TARGET) as usize).max(FEWEST_CANARIES)
+/// Returns the number of canary targets for a number of old targets.
+pub fn canary_count(old_count: usize) -> usize {
+    ((old_count as f64 * CANARIES_PER_OLD_TARGET) as usize).max(MIN_CANARIES)
 }
 
-/// Place of a target among the new ones: canaries come first.
+/// Returns a pseudo-random rank of a target among the new ones; the lowest ranks become canaries.
 pub fn canary_rank(order: ids::CatalogueVersion, target: &ids::TargetName) -> u64 {
     members::name_digest(&format!("{order} {target}")).0
 }
 
-/// Share of the calls with which each canary target has as many as a present one.
-fn trial_share(present: usize, canaries: usize) -> f64 {
-    let all = (present + canaries).max(1);
-    canaries as f64 / all as f64 / CANARY_TRIAL_SHARE
+/// Returns the share of calls at which each canary target gets as many as an old target.
+fn max_trial_share(old_count: usize, canaries: usize) -> f64 {
+    let total = (old_count + canaries).max(1);
+    canaries as f64 / total as f64 / CANARY_TRIAL_SHARE
 }
--- a/crates/engine/src/rollout/evidence.rs
+++ b/crates/engine/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! What the leader has heard of both versions' runs.
+//! Run counts of both versions, as collected by the leader.
 
 use std::time::Duration;
 
@@ -12,89 +12,91 @@
     verdict::{self, VersionJudge as _},
 };
 
-/// Groups that the new version's targets other than canaries are judged in.
+/// Number of groups that the new version's targets other than canaries are evaluated in.
 const RESERVE_GROUPS: u64 = 4;
 
-/// Runs from which on a target's health says something.
-const LEAST_TARGET_RUNS: u64 = 5;
-/// Unhealthy targets that convict a version, and by how much their share must be above the old
-/// version's.
-const FEWEST_UNHEALTHY: u64 = 2;
-const UNHEALTHY_EXCESS: f64 = 0.5;
+/// Minimum number of runs for a target's health to count.
+const MIN_TARGET_RUNS: u64 = 5;
+/// Minimum number of unhealthy targets for a rollback, and by how much their share must exceed that
+/// of the old version.
+const MIN_UNHEALTHY_TARGETS: u64 = 2;
+const MIN_UNHEALTHY_EXCESS: f64 = 0.5;
 
-/// Silence after which a target's node is taken to be gone.
-const SILENT_TIME: Duration = Duration::from_secs(3);
+/// Silence after which the node of a target is presumed gone.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The latest tally of one target.
+/// The latest report of one target.
 #[derive(Debug, Clone)]
-struct HeldTally {
+struct TargetEvidence {
     latest: wire::TargetTally,
-    /// Counts that the judge has had.
-    weighed: IndexMap<ids::EntryName, wire::RouteTally>,
-    /// When its node was last heard.
-    heard: time::MonotonicTime,
+    /// Counts that have already been evaluated.
+    evaluated: IndexMap<ids::EntryName, wire::RouteTally>,
+    /// Time of the last report.
+    reported_at: time::MonotonicTime,
 }
 
-impl HeldTally {
-    /// Answered runs and those that were given up.
+impl TargetEvidence {
+    /// Returns the number of runs that were answered or given up.
     fn runs(&self) -> u64 {
         let routes = self.latest.routes.iter();
-        let of_route = |route: &wire::RouteTally| {
+        let route_runs = |route: &wire::RouteTally| {
             u64::from(route.answered) + route.given_up.iter().copied().map(u64::from).sum::<u64>()
         };
-        routes.map(of_route).sum()
+        routes.map(route_runs).sum()
     }
 }
 
-/// Evidence of one roll-out.
+/// Evidence for one rollout.
 #[derive(Debug, Clone, Default)]
 pub struct RolloutEvidence {
     order: ids::CatalogueVersion,
-    targets: IndexMap<ids::TargetName, HeldTally>,
+    targets: IndexMap<ids::TargetName, TargetEvidence>,
     judge: verdict::SequentialJudge,
     observed: plan::ObservedRuns,
 }
 
-/// Runs of one version, as operators read them.
+/// Run counts of one version, as shown to operators.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct VersionCounts {
-    /// Runs with an answer.
+    /// Number of answered runs.
     pub answered: u64,
-    /// Those of them that failed.
+    /// Number of answered runs that failed.
     pub failed: u64,
 }
 
 impl RolloutEvidence {
-    /// Whether it is of an order.
-    pub fn is_of(&self, order: ids::CatalogueVersion) -> bool {
+    /// Returns whether the evidence belongs to an order.
+    pub fn belongs_to(&self, order: ids::CatalogueVersion) -> bool {
         self.order == order
     }
 
-    /// Takes a tally, unless a later one of the same target is held.
-    pub fn take(&mut self, tally: wire::TargetTally, now: time::MonotonicTime) {
+    /// Records the report of a target, unless a later one is known.
+    pub fn record_tally(&mut self, tally: wire::TargetTally, now: time::MonotonicTime) {
         self.order = tally.order;
-        let held = self.targets.get_mut(&tally.target);
-        let Some(held) = held else {
-            let held = HeldTally {
-                weighed: IndexMap::new(),
-                heard: now,
+        let evidence = self.targets.get_mut(&tally.target);
+        let Some(evidence) = evidence else {
+            let evidence = TargetEvidence {
+                evaluated: IndexMap::new(),
+                reported_at: now,
                 latest: tally,
             };
-            self.targets.insert(held.latest.target.clone(), held);
+            self.targets
+                .insert(evidence.latest.target.clone(), evidence);
             return;
         };
-        if held.latest.stamp >= tally.stamp {
+        if evidence.latest.stamp >= tally.stamp {
             return;
         }
-        let is_anew = held.latest.stamp.0 != tally.stamp.0 || held.latest.version != tally.version;
-        if is_anew {
-            held.weighed.clear();
+        let has_restarted =
+            evidence.latest.stamp.0 != tally.stamp.0 || evidence.latest.version != tally.version;
+        if has_restarted {
+            evidence.evaluated.clear();
         }
-        held.heard = now;
-        held.latest = tally;
+        evidence.reported_at = now;
+        evidence.latest = tally;
     }
 
-    /// Has the judge weigh what is new.
+    /// Evaluates the runs that were reported since the last call.
     pub fn observe(
         &mut self,
         entry: &rollout::RolloutEntry,
@@ -109,19 +111,21 @@
             canaries,
             ..verdict::RunWindow::default()
         };
-        for (target, held) in &mut self.targets {
+        for (target, evidence) in &mut self.targets {
             let group = groups.get(target).copied();
-            for tally in &held.latest.routes {
-                let before = held.weighed.get(&tally.route);
-                let counts = verdict::RunCounts::between(before, tally);
+            for tally in &evidence.latest.routes {
+                let previous = evidence.evaluated.get(&tally.route);
+                let counts = verdict::RunCounts::between(previous, tally);
                 match group {
                     Some(group) => window.record_new_version(group, &tally.route, &counts),
                     None => window.record_baseline(&tally.route, &counts),
                 }
-                held.weighed.insert(tally.route.clone(), tally.clone());
+                evidence
+                    .evaluated
+                    .insert(tally.route.clone(), tally.clone());
             }
         }
-        let runs_once = |route: &ids::EntryName| {
+        let is_non_idempotent = |route: &ids::EntryName| {
             let route = catalogue.get(&entry::EntryKey {
                 kind: entry::EntryKind::Route,
                 name: route.clone(),
@@ -129,72 +133,73 @@
             matches!(route, Some(entry::CatalogueEntry::Route(route))
                 if route.idempotent == Some(false))
         };
-        self.judge.observe(&window, &runs_once);
+        self.judge.observe(&window, &is_non_idempotent);
         self.observed.record(&window);
     }
 
-    /// How much of the new version was seen.
+    /// Returns the number of runs that have been evaluated.
     pub fn observed(&self) -> plan::ObservedRuns {
         self.observed
     }
 
-    /// What speaks against the new version, if enough does.
+    /// Returns the evidence against the new version, if there is enough.
     pub fn finding(&self, to: &ids::SoftwareVersion) -> Option<verdict::RolloutFinding> {
-        self.judge.finding().or_else(|| self.unhealthy(to))
+        self.judge.finding().or_else(|| self.unhealthy_finding(to))
     }
 
-    /// The finding that many targets of the new version are unhealthy and few of the old one: calls
-    /// are kept away from such targets, so that their runs would show it late.
-    fn unhealthy(&self, to: &ids::SoftwareVersion) -> Option<verdict::RolloutFinding> {
+    /// Finds that many targets of the new version are unhealthy, compared with the old one. Ejected
+    /// targets get few calls, so their runs alone would show the fault late.
+    fn unhealthy_finding(&self, to: &ids::SoftwareVersion) -> Option<verdict::RolloutFinding> {
         let count = |is_new: bool| {
-            let of_version = self.targets.values().filter(|held| {
-                let version = held.latest.version.as_ref();
-                (version == Some(to)) == is_new && held.runs() >= LEAST_TARGET_RUNS
+            let version_targets = self.targets.values().filter(|evidence| {
+                let version = evidence.latest.version.as_ref();
+                (version == Some(to)) == is_new && evidence.runs() >= MIN_TARGET_RUNS
             });
-            let (failing, sound): (Vec<_>, Vec<_>) =
-                of_version.partition(|held| held.latest.is_failing);
-            (failing.len() as u64, (failing.len() + sound.len()) as u64)
+            let (failing, healthy): (Vec<_>, Vec<_>) =
+                version_targets.partition(|evidence| evidence.latest.is_failing);
+            (failing.len() as u64, (failing.len() + healthy.len()) as u64)
         };
-        let (bad, weighed) = count(true);
-        let (bad_present, present) = count(false);
-        let present_share = bad_present as f64 / present.max(1) as f64;
-        let excess = bad as f64 / weighed.max(1) as f64 - present_share;
-        let is_found = bad >= FEWEST_UNHEALTHY && excess >= UNHEALTHY_EXCESS;
-        is_found.then_some(verdict::RolloutFinding {
+        let (bad, evaluated) = count(true);
+        let (bad_baseline, baseline_total) = count(false);
+        let baseline_share = bad_baseline as f64 / baseline_total.max(1) as f64;
+        let excess = bad as f64 / evaluated.max(1) as f64 - baseline_share;
+        let is_significant = bad >= MIN_UNHEALTHY_TARGETS && excess >= MIN_UNHEALTHY_EXCESS;
+        is_significant.then_some(verdict::RolloutFinding {
             kind: verdict::FaultKind::Unhealthy,
             route: None,
-            weighed,
+            evaluated,
             bad,
-            present_share,
+            baseline_share,
         })
     }
 
-    /// Calls at targets of other versions than the new one, as their nodes told after `since`. One that was
-    /// not heard since then may have one, unless it has been silent for long.
+    /// Returns the number of calls at targets of other versions than the new one, as reported after
+    /// `since`. A target without a report since then counts as one call, unless it has been silent
+    /// for so long that its node is presumed gone.
     pub fn old_in_flight(
         &self,
         to: &ids::SoftwareVersion,
         since: time::MonotonicTime,
         now: time::MonotonicTime,
     ) -> u32 {
-        let is_present = |held: &&HeldTally| held.latest.version.as_ref() != Some(to);
-        let present = self.targets.values().filter(is_present);
-        let in_flight = |held: &HeldTally| {
-            if held.heard > since {
-                held.latest.in_flight
+        let is_old = |evidence: &&TargetEvidence| evidence.latest.version.as_ref() != Some(to);
+        let old_targets = self.targets.values().filter(is_old);
+        let in_flight = |evidence: &TargetEvidence| {
+            if evidence.reported_at > since {
+                evidence.latest.in_flight
             } else {
-                u32::from(now.since(held.heard) < SILENT_TIME)
+                u32::from(now.since(evidence.reported_at) < SILENCE_TIMEOUT)
             }
         };
-        present.map(in_flight).sum()
+        old_targets.map(in_flight).sum()
     }
 
-    /// Runs by version.
+    /// Returns the run counts by version.
     pub fn by_version(&self) -> IndexMap<Option<ids::SoftwareVersion>, VersionCounts> {
         let mut versions: IndexMap<_, VersionCounts> = IndexMap::new();
-        for held in self.targets.values() {
-            let counts = versions.entry(held.latest.version.clone()).or_default();
-            for route in &held.latest.routes {
+        for evidence in self.targets.values() {
+            let counts = versions.entry(evidence.latest.version.clone()).or_default();
+            for route in &evidence.latest.routes {
                 counts.answered += u64::from(route.answered);
                 counts.failed += u64::from(route.failed);
             }
@@ -203,34 +208,37 @@
     }
 
     fn canaries(&self, entry: &rollout::RolloutEntry) -> usize {
-        let is_old = |held: &&HeldTally| held.latest.version.as_ref() != Some(&entry.to);
+        let is_old =
+            |evidence: &&TargetEvidence| evidence.latest.version.as_ref() != Some(&entry.to);
         cohort::canary_count(self.targets.values().filter(is_old).count())
     }
 
-    /// Groups of the new version's targets: each canary is one, so that a fault of one machine is
-    /// told from one of the version, and the others share some.
+    /// Assigns the new version's targets to groups. Each canary is a group of its own, so that the
+    /// fault of one machine can be told from a fault of the version; the other targets share a few
+    /// groups.
     fn groups(
         &self,
         entry: &rollout::RolloutEntry,
         canaries: usize,
     ) -> IndexMap<ids::TargetName, u64> {
-        let is_new = |held: &&HeldTally| held.latest.version.as_ref() == Some(&entry.to);
-        let mut coming: Vec<(u64, &ids::TargetName)> = self
+        let is_new =
+            |evidence: &&TargetEvidence| evidence.latest.version.as_ref() == Some(&entry.to);
+        let mut new_targets: Vec<(u64, &ids::TargetName)> = self
             .targets
             .values()
             .filter(is_new)
-            .map(|held| &held.latest.target)
+            .map(|evidence| &evidence.latest.target)
             .map(|target| (cohort::canary_rank(entry.order, target), target))
             .collect();
-        coming.sort();
-        let group = |(place, (rank, target)): (usize, (u64, &ids::TargetName))| {
-            let group = if place < canaries {
-                place as u64
+        new_targets.sort();
+        let group = |(position, (rank, target)): (usize, (u64, &ids::TargetName))| {
+            let group = if position < canaries {
+                position as u64
             } else {
                 canaries as u64 + rank % RESERVE_GROUPS
             };
             (target.clone(), group)
         };
-        coming.into_iter().enumerate().map(group).collect()
+        new_targets.into_iter().enumerate().map(group).collect()
     }
 }
--- a/crates/engine/src/rollout/plan.rs
+++ b/crates/engine/src/rollout/plan.rs
@@ -1,8 +1,8 @@
-//! The steps of a roll-out by time and evidence.
+//! Steps of a rollout, decided by time and evidence.
 //!
-//! A version that turns bad late must not have had too many calls by then: the share stays small
-//! for most of the time, and the rest of the move is quick. What was counted before the time limit
-//! bounds what a bad version can have had.
+//! A version may turn bad late, and must not have received many calls by then. The new version's
+//! share therefore stays small for most of the rollout, and the rest of the traffic moves quickly
+//! at the end. The calls of the trial bound the damage that a bad version can do.
 
 use std::time::Duration;
 
@@ -10,129 +10,137 @@
 
 use super::{cohort, verdict};
 
-/// Part of the time, before its limit, that the move after the trial is given.
-const MOVE_PART: f64 = 0.25;
-/// Shortest and longest time that the move is given.
-const SHORTEST_MOVE: Duration = Duration::from_millis(2500);
-const LONGEST_MOVE: Duration = Duration::from_secs(60);
-/// Part of the move that the wider share lasts.
-const WIDE_PART: f64 = 0.3;
-/// Share of the calls that the new version gets then, in thousandths.
-const WIDE_PERMILLE: u32 = 300;
-/// Time before the limit at which the roll-out ends, one way or the other.
-const LAST_MARGIN: Duration = Duration::from_millis(500);
-/// Time that all calls go to the new version before the old targets may stop.
+/// Share of the time limit, at its end, that is reserved for moving the traffic after the trial.
+const SHIFT_TIME_SHARE: f64 = 0.25;
+/// Bounds of the time reserved for moving the traffic.
+const MIN_SHIFT_TIME: Duration = Duration::from_millis(2500);
+const MAX_SHIFT_TIME: Duration = Duration::from_secs(60);
+/// Share of that time that the widening phase lasts.
+const WIDENING_TIME_SHARE: f64 = 0.3;
+/// Share of calls that the new version gets in the widening phase, in thousandths.
+const WIDENING_PERMILLE: u32 = 300;
+/// Time before the limit at which the rollout ends, with success or a rollback.
+const END_MARGIN: Duration = Duration::from_millis(500);
+/// Time for which all calls go to the new version before the old targets may stop.
 pub(super) const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Slots that the new version must have of those of the old one.
-const ENOUGH_SLOTS: f64 = 0.8;
-/// Part of the nodes that may still be on their way to the last step when the time is over.
-const STRAGGLERS: f64 = 0.1;
-
-/// Time and runs for which a version was watched, at the least, before it gets more calls.
-const LEAST_WATCH: Duration = Duration::from_secs(2);
-const LEAST_WATCH_PART: f64 = 0.125;
-const LEAST_RUNS: f64 = 30.0;
-/// Part of its share of the calls that it must have had: less means that its targets take none.
-const LEAST_OF_SHARE: f64 = 0.25;
-/// The same for a service with few calls.
-const LONG_WATCH_PART: f64 = 0.33;
-const FEWEST_RUNS: f64 = 5.0;
-
-/// Runs of the new version that were weighed.
+/// Minimum ratio of the new version's slots to the old version's.
+const MIN_SLOT_RATIO: f64 = 0.8;
+/// Share of nodes that may still lack the switch when the time limit is reached.
+const MAX_BEHIND_SHARE: f64 = 0.1;
+
+/// Minimum time and number of runs for which the new version is observed before it gets more calls.
+const MIN_OBSERVED_TIME: Duration = Duration::from_secs(2);
+const MIN_OBSERVED_TIME_SHARE: f64 = 0.125;
+const MIN_RUNS: f64 = 30.0;
+/// Minimum ratio of the new version's observed share of runs to its intended one; below that, its
+/// targets do not take their calls.
+const MIN_SHARE_RATIO: f64 = 0.25;
+/// Minimum time share and number of runs for a service with few calls.
+const LOW_TRAFFIC_TIME_SHARE: f64 = 0.33;
+const LOW_TRAFFIC_MIN_RUNS: f64 = 5.0;
+
+/// Runs of the new version that have been evaluated.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ObservedRuns {
-    /// How many.
+    /// Number of runs of the new version.
     pub runs: f64,
-    /// Runs of the old version beside them.
-    pub present: f64,
-    /// Time since the first.
+    /// Number of runs of the old version in the same period.
+    pub old_runs: f64,
+    /// Observed time since the first run of the new version.
     pub span: Duration,
 }
 
 impl ObservedRuns {
-    /// Adds what a judge has weighed.
+    /// Adds the runs of an evaluated window.
     pub fn record(&mut self, window: &verdict::RunWindow) {
-        let counts = window.coming.values();
+        let counts = window.new_version.values();
         self.runs += counts.map(|counts| counts.answered).sum::<f64>();
         if self.runs > 0.0 {
-            let present = window.present.values();
-            self.present += present.map(|counts| counts.answered).sum::<f64>();
+            let baseline = window.baseline.values();
+            self.old_runs += baseline.map(|counts| counts.answered).sum::<f64>();
             self.span += window.span;
         }
     }
 
-    /// Whether it is enough to judge by, given the time of the roll-out and the share of the calls.
-    fn is_enough(&self, within: Duration, share: f64) -> bool {
-        let short = within.mul_f64(LEAST_WATCH_PART).max(LEAST_WATCH);
-        let long = within.mul_f64(LONG_WATCH_PART);
-        let is_long_enough = self.span >= short && self.runs >= LEAST_RUNS
-            || self.span >= long && self.runs >= FEWEST_RUNS;
-        is_long_enough && self.runs >= self.present * share * LEAST_OF_SHARE
+    /// Returns whether this suffices to judge the version, given the time limit of the rollout and
+    /// the intended share of calls.
+    fn is_sufficient(&self, within: Duration, share: f64) -> bool {
+        let min_time = within
+            .mul_f64(MIN_OBSERVED_TIME_SHARE)
+            .max(MIN_OBSERVED_TIME);
+        let low_traffic_time = within.mul_f64(LOW_TRAFFIC_TIME_SHARE);
+        let has_enough_runs = self.span >= min_time && self.runs >= MIN_RUNS
+            || self.span >= low_traffic_time && self.runs >= LOW_TRAFFIC_MIN_RUNS;
+        has_enough_runs && self.runs >= self.old_runs * share * MIN_SHARE_RATIO
     }
 }
 
-/// What the next step is decided on.
+/// Inputs for the decision on the next step.
 #[derive(Debug, Clone)]
 pub struct RolloutSituation {
-    /// Its phase.
+    /// Current phase.
     pub phase: rollout::RolloutPhase,
-    /// Largest share of the calls that the new version takes in it.
+    /// Maximum share of calls that the new version gets in this phase.
     pub share: f64,
-    /// Time from the order to the limit.
+    /// Time limit, counted from the order.
     pub within: Duration,
-    /// Time since the order; absent where this leader cannot know it.
+    /// Time since the order; `None` if this leader cannot know it.
     pub elapsed: Option<Duration>,
-    /// Time since the phase came into force here.
+    /// Time since the phase came into force on this process.
     pub time_in_phase: Duration,
-    /// What speaks against the new version.
+    /// Evidence against the new version, if there is enough.
     pub finding: Option<verdict::RolloutFinding>,
-    /// How much of the new version was seen.
+    /// Runs that have been evaluated.
     pub observed: ObservedRuns,
     /// Slots of both versions.
     pub slots: cohort::SlotCount,
-    /// Nodes that are known.
+    /// Number of known nodes.
     pub known_nodes: usize,
-    /// Those of them that can be reached and do not have the phase in force.
+    /// Number of reachable nodes that do not have the phase in force.
     pub nodes_behind: usize,
-    /// Calls that run or wait at old targets.
+    /// Number of calls that run or wait at old targets.
     pub old_in_flight: u32,
 }
 
-/// A step to the next phase.
+/// A transition to another phase.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutStep {
-    /// The phase.
+    /// Phase to enter.
     pub phase: rollout::RolloutPhase,
-    /// Largest share of the calls that the new version takes in it, in thousandths.
+    /// Maximum share of calls that the new version gets in that phase, in thousandths.
     pub share_permille: u32,
-    /// Why.
+    /// Reason for the transition, as shown to operators.
     pub reason: String,
 }
 
-/// The next step, if it is time for one.
+/// Returns the next step if one is due.
 pub fn next_step(situation: &RolloutSituation) -> Option<RolloutStep> {
     let Some(elapsed) = situation.elapsed else {
         let reason = "the controls were restarted and do not know how long it has gone on";
-        return Some(take_back(reason.into()));
+        return Some(roll_back(reason.into()));
     };
     if let Some(finding) = &situation.finding {
-        return Some(take_back(finding.to_string()));
+        return Some(roll_back(finding.to_string()));
     }
-    let left = situation.within.saturating_sub(elapsed);
-    let span = move_time(situation.within);
+    let remaining = situation.within.saturating_sub(elapsed);
+    let shift = shift_time(situation.within);
     match situation.phase {
-        _ if left <= LAST_MARGIN => Some(last_step(situation)),
+        _ if remaining <= END_MARGIN => Some(final_step(situation)),
         rollout::RolloutPhase::Trial
-            if left <= span && has_slots(situation) && is_watched(situation) =>
+            if remaining <= shift
+                && has_enough_slots(situation)
+                && is_sufficiently_observed(situation) =>
         {
             let reason = format!("nothing found against it in {:.1} s", elapsed.as_secs_f64());
             Some(RolloutStep {
                 phase: rollout::RolloutPhase::Widening,
-                share_permille: WIDE_PERMILLE,
+                share_permille: WIDENING_PERMILLE,
                 reason,
             })
         }
-        rollout::RolloutPhase::Widening if situation.time_in_phase >= span.mul_f64(WIDE_PART) => {
+        rollout::RolloutPhase::Widening
+            if situation.time_in_phase >= shift.mul_f64(WIDENING_TIME_SHARE) =>
+        {
             (situation.nodes_behind == 0).then(|| RolloutStep {
                 phase: rollout::RolloutPhase::Switched,
                 share_permille: rollout::WHOLE_PERMILLE,
@@ -152,47 +160,50 @@
     }
 }
 
-/// Time for the move after the trial.
-fn move_time(within: Duration) -> Duration {
-    let part = within.mul_f64(MOVE_PART);
-    part.clamp(SHORTEST_MOVE, LONGEST_MOVE).min(within / 2)
+/// Returns the time reserved for moving the traffic after the trial.
+fn shift_time(within: Duration) -> Duration {
+    let unbounded = within.mul_f64(SHIFT_TIME_SHARE);
+    unbounded
+        .clamp(MIN_SHIFT_TIME, MAX_SHIFT_TIME)
+        .min(within / 2)
 }
 
-/// Whether enough of the new version was seen. What it had on trial is held against the share of then.
-fn is_watched(situation: &RolloutSituation) -> bool {
+/// Returns whether enough runs of the new version were observed. The share check applies only
+/// during the trial, since only then do the counts match the share.
+fn is_sufficiently_observed(situation: &RolloutSituation) -> bool {
     let is_trial = situation.phase == rollout::RolloutPhase::Trial;
     let share = if is_trial { situation.share } else { 0.0 };
-    situation.observed.is_enough(situation.within, share)
+    situation.observed.is_sufficient(situation.within, share)
 }
 
-fn has_slots(situation: &RolloutSituation) -> bool {
-    let wanted = f64::from(situation.slots.old) * ENOUGH_SLOTS;
-    situation.slots.new > 0 && f64::from(situation.slots.new) >= wanted
+fn has_enough_slots(situation: &RolloutSituation) -> bool {
+    let min_slots = f64::from(situation.slots.old) * MIN_SLOT_RATIO;
+    situation.slots.new > 0 && f64::from(situation.slots.new) >= min_slots
 }
 
-/// How a roll-out ends whose time is over.
-fn last_step(situation: &RolloutSituation) -> RolloutStep {
+/// Returns the step that ends a rollout whose time limit is reached.
+fn final_step(situation: &RolloutSituation) -> RolloutStep {
     let is_switched = situation.phase == rollout::RolloutPhase::Switched;
     let nodes_behind = situation.nodes_behind as f64;
-    if is_switched && nodes_behind <= situation.known_nodes as f64 * STRAGGLERS {
+    if is_switched && nodes_behind <= situation.known_nodes as f64 * MAX_BEHIND_SHARE {
         return succeed("all calls go to it");
     }
-    if !has_slots(situation) {
+    if !has_enough_slots(situation) {
         let slots = situation.slots;
-        return take_back(format!(
+        return roll_back(format!(
             "its targets have {} slots ready, the old ones {}",
             slots.new, slots.old
         ));
     }
-    if !is_watched(situation) {
+    if !is_sufficiently_observed(situation) {
         let observed = situation.observed;
-        return take_back(format!(
+        return roll_back(format!(
             "only {:.0} of its runs were seen, over {:.1} s",
             observed.runs,
             observed.span.as_secs_f64()
         ));
     }
-    take_back("it could not be brought to all nodes in its time".into())
+    roll_back("it could not be brought to all nodes in its time".into())
 }
 
 fn succeed(reason: &str) -> RolloutStep {
@@ -203,7 +214,7 @@
     }
 }
 
-fn take_back(reason: String) -> RolloutStep {
+fn roll_back(reason: String) -> RolloutStep {
     RolloutStep {
         phase: rollout::RolloutPhase::RolledBack,
         share_permille: 0,
--- a/crates/engine/src/rollout/tally.rs
+++ b/crates/engine/src/rollout/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of the runs of own targets, and how they get to the leader.
+//! Run counts of own targets, and their delivery to the leader.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,57 +9,61 @@
 
 use crate::{calls, event, health, reducer};
 
-/// Time between two reports of a target of the new version, and of all once calls have left the old one.
-const COMING_PERIOD: Duration = Duration::from_millis(250);
-/// Time between two reports of another target: there are many more of them.
-const PRESENT_PERIOD: Duration = Duration::from_millis(1000);
-/// Status of an answer that says that the target has too much to do.
+/// Interval between reports of a target of the new version, and of every target once no calls go to
+/// the old version.
+const NEW_VERSION_PERIOD: Duration = Duration::from_millis(250);
+/// Interval between reports of a target of the old version; these are far more numerous.
+const OLD_VERSION_PERIOD: Duration = Duration::from_millis(1000);
+/// Status of an answer by which an overloaded target sheds a call.
 const SHED_STATUS: u16 = 503;
-const FAILED_STATUS: u16 = 500;
+const MIN_FAILED_STATUS: u16 = 500;
 
-/// Runs of one own target since its node learnt of the roll-out.
+/// Runs of one own target since its node learnt of the rollout.
 #[derive(Debug, Clone)]
-pub struct OwnTally {
+pub struct OwnTargetTally {
     service: ids::EntryName,
     order: ids::CatalogueVersion,
     version: Option<ids::SoftwareVersion>,
     is_new: bool,
     routes: IndexMap<ids::EntryName, wire::RouteTally>,
-    sent: Option<time::MonotonicTime>,
+    sent_at: Option<time::MonotonicTime>,
 }
 
-/// Runs of own targets whose services have a roll-out under way.
+/// Runs of the own targets whose services have a running rollout.
 #[derive(Debug, Clone, Default)]
 pub struct TallyTable {
-    targets: IndexMap<ids::TargetName, OwnTally>,
+    targets: IndexMap<ids::TargetName, OwnTargetTally>,
     sequence: u64,
 }
 
 impl TallyTable {
-    /// The tally of a target; begun anew for another order or version.
-    pub fn of_target(
+    /// Returns the counts of a target, which restart from zero for another order or version.
+    pub fn target_tally(
         &mut self,
         target: &ids::TargetName,
         entry: &rollout::RolloutEntry,
         version: Option<&ids::SoftwareVersion>,
-    ) -> &mut OwnTally {
-        let begin = || OwnTally {
+    ) -> &mut OwnTargetTally {
+        let start_tally = || OwnTargetTally {
             service: entry.name.clone(),
             order: entry.order,
             version: version.cloned(),
             is_new: version == Some(&entry.to),
             routes: IndexMap::new(),
-            sent: None,
+            sent_at: None,
         };
-        let tally = self.targets.entry(target.clone()).or_insert_with(begin);
+        let tally = self
+            .targets
+            .entry(target.clone())
+            .or_insert_with(start_tally);
         if tally.order != entry.order || tally.version.as_ref() != version {
-            *tally = begin();
+            *tally = start_tally();
         }
         tally
     }
 
-    /// Forgets the targets whose roll-out is over.
-    pub fn keep_running<'a>(
+    /// Drops the counts of targets whose rollout has ended.
+    pub fn retain_running<'a>(
         &mut self,
         running: impl Fn(&ids::EntryName) -> Option<&'a rollout::RolloutEntry>,
     ) {
@@ -68,7 +72,7 @@
         });
     }
 
-    /// Runs of each own target: its service, its version and its routes.
+    /// Returns the run counts of each own target with its service and version, by route.
     pub fn iter(
         &self,
     ) -> impl Iterator<
@@ -85,17 +89,17 @@
     }
 }
 
-impl OwnTally {
-    /// Notes how a run ended. What tells nothing of the version is left out: a target that sheds, an
-    /// answer that was lost or spoilt on its way, a connection that broke.
-    pub fn note(&mut self, route: &ids::EntryName, took: Duration, result: calls::RunResult) {
+impl OwnTargetTally {
+    /// Counts a completed run. Results that say nothing about the version are left out: shed calls,
+    /// answers lost or corrupted in transit, and broken connections.
+    pub fn record(&mut self, route: &ids::EntryName, duration: Duration, result: calls::RunResult) {
         let tally = self.routes.entry(route.clone());
         let tally = tally.or_insert_with(|| wire::RouteTally::new(route.clone()));
-        let class = wire::time_class(took);
+        let class = wire::time_class(duration);
         match result {
             calls::RunResult::Done { status } if status != SHED_STATUS => {
                 tally.answered += 1;
-                tally.failed += u32::from(status >= FAILED_STATUS);
+                tally.failed += u32::from(status >= MIN_FAILED_STATUS);
                 tally.times[class] += 1;
             }
             calls::RunResult::TimedOut | calls::RunResult::CallerGone => {
@@ -107,26 +111,27 @@
     }
 }
 
-/// Sends the tallies that are due to a control.
+/// Sends the reports that are due to a control.
 pub(super) fn report(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
-    begin_tallies(state);
+    start_tallies(state);
     let now = state.now;
     let incarnation = state.settings.identity.incarnation;
     let in_force = std::sync::Arc::clone(&state.dissemination.in_force);
-    // Once all calls have moved, the leader waits for old targets to have none left.
-    let is_leaving = |tally: &OwnTally| {
+    // After the switch, the leader waits until no calls are left at the old targets, so they report
+    // as often as the new ones.
+    let is_draining = |tally: &OwnTargetTally| {
         let entry = in_force.rollout(&tally.service);
         entry.is_some_and(|entry| entry.phase == rollout::RolloutPhase::Switched)
     };
-    let is_due = |tally: &OwnTally| {
-        let period = if tally.is_new || is_leaving(tally) {
-            COMING_PERIOD
+    let is_due = |tally: &OwnTargetTally| {
+        let period = if tally.is_new || is_draining(tally) {
+            NEW_VERSION_PERIOD
         } else {
-            PRESENT_PERIOD
+            OLD_VERSION_PERIOD
         };
-        tally.sent.is_none_or(|sent| now.since(sent) >= period)
+        tally.sent_at.is_none_or(|last| now.since(last) >= period)
     };
-    let due: Vec<ids::TargetName> = state
+    let due_targets: Vec<ids::TargetName> = state
         .rollout
         .tallies
         .targets
@@ -134,17 +139,17 @@
         .filter(|(_, tally)| is_due(tally))
         .map(|(target, _)| target.clone())
         .collect();
-    if due.is_empty() {
+    if due_targets.is_empty() {
         return;
     }
     state.rollout.tallies.sequence += 1;
     let stamp = (incarnation, state.rollout.tallies.sequence);
     let mut tallies = Vec::new();
-    for target in due {
+    for target in due_targets {
         let in_flight = super::in_flight(state, &target);
         let is_failing = health::is_failing(state, &target);
         let tally = &mut state.rollout.tallies.targets[&target];
-        tally.sent = Some(now);
+        tally.sent_at = Some(now);
         tallies.push(wire::TargetTally {
             service: tally.service.clone(),
             order: tally.order,
@@ -163,34 +168,38 @@
     if state.settings.identity.is_control {
         super::receive(state, message, output);
     } else if let Some(control) = nearest_control(state) {
-        output.send(control, super::message_of(message));
+        output.send(control, super::peer_message(message));
     }
 }
 
-/// Has a tally for each own target whose service has a roll-out under way, also before its first run.
-fn begin_tallies(state: &mut reducer::EngineState) {
+/// Creates the counts of each own target whose service has a running rollout, so that it reports
+/// even before its first run.
+fn start_tallies(state: &mut reducer::EngineState) {
     let in_force = std::sync::Arc::clone(&state.dissemination.in_force);
-    for (name, own) in &state.membership.targets {
-        let entry = in_force.rollout(&own.record.service);
+    for (name, own_target) in &state.membership.targets {
+        let entry = in_force.rollout(&own_target.record.service);
         if let Some(entry) = entry.filter(|entry| entry.phase.is_running()) {
             let tallies = &mut state.rollout.tallies;
-            tallies.of_target(name, entry, own.record.version.as_ref());
+            tallies.target_tally(name, entry, own_target.record.version.as_ref());
         }
     }
-    let own = &state.membership.targets;
+    let own_targets = &state.membership.targets;
     let tallies = &mut state.rollout.tallies;
-    tallies.targets.retain(|target, _| own.contains_key(target));
+    tallies
+        .targets
+        .retain(|target, _| own_targets.contains_key(target));
 }
 
-/// A control that can be reached, at best of the own data centre.
+/// Returns the address of a reachable control, preferably in the own data centre.
 fn nearest_control(state: &reducer::EngineState) -> Option<SocketAddr> {
-    let own = &state.settings.identity.data_centre;
+    let data_centre = &state.settings.identity.data_centre;
     let controls = state
         .membership
         .others()
         .map(|member| &member.record.identity)
         .filter(|identity| identity.is_control)
         .filter(|identity| state.membership.is_reachable(&identity.instance));
-    let nearest = controls.min_by_key(|identity| (identity.data_centre != *own, identity.address));
+    let nearest =
+        controls.min_by_key(|identity| (identity.data_centre != *data_centre, identity.address));
     nearest.map(|identity| identity.address)
 }
--- a/crates/engine/src/rollout/verdict.rs
+++ b/crates/engine/src/rollout/verdict.rs
@@ -1,9 +1,9 @@
-//! Whether a new version is worse than the old one.
+//! Decides whether a new version is worse than the old one.
 //!
-//! Two errors are possible: a good version is taken back, or a bad one is let through. Both
-//! versions are compared over the same seconds, route by route, because what shortage, cut links
-//! and slow machines do hits both. The new version's runs are weighed in groups, each a machine or
-//! a few, and no group alone convicts the version: a machine may be at fault.
+//! Two errors are possible: a good version is rolled back, or a bad one is let through. Both
+//! versions are compared over the same period and by route, because overload, network partitions
+//! and slow machines affect both. The runs of the new version are evaluated in groups of one or a
+//! few machines, and no single group suffices for a rollback, since a machine may be at fault.
 
 use std::{fmt, time::Duration};
 
@@ -11,76 +11,81 @@
 use hazeltiller_wire::rollout as wire;
 use indexmap::IndexMap;
 
-/// Times over which the old version's runs count half as much: what has just begun to hit both
-/// versions shows in the shorter one, what few runs show in the longer one.
+/// Half-lives, in seconds, of the old version's counts. The shorter one shows what has just begun
+/// to affect both versions, the longer one what takes many runs to show.
 const HALF_LIVES_S: [f64; 2] = [0.75, 4.0];
-/// Runs of the old version that a route's times are compared with at the least.
-const LEAST_PRESENT_RUNS: f64 = 20.0;
-/// A run is slow that takes four times as long as the old version's median of its route.
-const SLOW_CLASSES: usize = 2 * wire::CLASSES_PER_DOUBLING;
-/// Sum of log likelihood ratios at which the version is held bad.
-const CONVICTION: f64 = 18.0;
-/// Part of it that one group can give, by how many canary targets there are.
-const GROUP_PARTS: [f64; 4] = [1.0, 1.0, 0.5, 0.34];
-/// Part of a canary's bound that a group of other targets has: they have few runs each.
-const RESERVE_PART: f64 = 0.5;
-/// Weight of runs that cannot be tried again: fewer of them are risked.
-const ONCE_WEIGHT: f64 = 1.25;
-/// Runs of a group from which on it counts as one.
-const LEAST_GROUP_RUNS: f64 = 5.0;
-
-/// How much larger than the old version's a share may be, and how large a bad version's is.
+/// Minimum number of runs of the old version for a comparison of run times.
+const MIN_BASELINE_RUNS: f64 = 20.0;
+/// Number of time classes above the old version's median from which a run is slow: four times as
+/// long.
+const SLOW_CLASS_OFFSET: usize = 2 * wire::CLASSES_PER_DOUBLING;
+/// Sum of log-likelihood ratios at which the version is judged bad.
+const REJECTION_SCORE: f64 = 18.0;
+/// Share of that sum that one group can contribute, by the number of canary targets.
+const GROUP_SCORE_SHARES: [f64; 4] = [1.0, 1.0, 0.5, 0.34];
+/// Bound of a group of other targets relative to that of a canary, since each of these targets has
+/// few runs.
+const RESERVE_SCORE_RATIO: f64 = 0.5;
+/// Weight of non-idempotent runs, which cannot be retried; with it a fault is detected after fewer
+/// of them.
+const NON_IDEMPOTENT_WEIGHT: f64 = 1.25;
+/// Minimum number of runs for a canary to count as a group.
+const MIN_GROUP_RUNS: f64 = 5.0;
+
+/// Margins over the old version's share of bad runs: the largest that is acceptable, and that of a
+/// bad version.
 #[derive(Debug, Clone, Copy)]
 struct ShareMargins {
-    sound: f64,
+    acceptable: f64,
     bad: f64,
 }
 
 const FAILURE_MARGINS: ShareMargins = ShareMargins {
-    sound: 0.03,
+    acceptable: 0.03,
     bad: 0.15,
 };
-/// Machines of one service differ in speed.
+/// Larger than the margins of failures, because the machines of one service differ in speed.
 const SLOW_MARGINS: ShareMargins = ShareMargins {
-    sound: 0.08,
+    acceptable: 0.08,
     bad: 0.22,
 };
-/// Added to both while the old version has no runs to compare with in the same seconds.
-const ALONE_MARGIN: f64 = 0.15;
+/// Added to both margins while the old version has too few runs in the same period to compare with.
+const NO_BASELINE_MARGIN: f64 = 0.15;
 
-/// Runs in some time.
+/// Run counts of some period.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RunCounts {
-    /// With an answer.
+    /// Number of answered runs.
     pub answered: f64,
-    /// Those of them that failed.
+    /// Number of answered runs that failed.
     pub failed: f64,
-    /// Answered ones by class of their time.
+    /// Answered runs by time class.
     pub times: [f64; wire::TIME_CLASSES],
-    /// Those given up, by class of the time that they had had.
+    /// Runs that were given up, by class of the time spent.
     pub given_up: [f64; wire::TIME_CLASSES],
 }
 
 impl RunCounts {
-    /// Runs between two tallies of one target.
-    pub fn between(before: Option<&wire::RouteTally>, now: &wire::RouteTally) -> Self {
-        let none = wire::RouteTally::new(now.route.clone());
-        let before = before.unwrap_or(&none);
-        let grown = |now: u32, before: u32| f64::from(now.saturating_sub(before));
+    /// Returns the runs between two reports of one target.
+    pub fn between(previous: Option<&wire::RouteTally>, current: &wire::RouteTally) -> Self {
+        let zero = wire::RouteTally::new(current.route.clone());
+        let previous = previous.unwrap_or(&zero);
+        let increase = |current: u32, previous: u32| f64::from(current.saturating_sub(previous));
         let at = |counts: &[u32], class: usize| counts.get(class).copied().unwrap_or(0);
         let mut counts = Self {
-            answered: grown(now.answered, before.answered),
-            failed: grown(now.failed, before.failed),
+            answered: increase(current.answered, previous.answered),
+            failed: increase(current.failed, previous.failed),
             ..Self::default()
         };
         for class in 0..wire::TIME_CLASSES {
-            counts.times[class] = grown(at(&now.times, class), at(&before.times, class));
-            counts.given_up[class] = grown(at(&now.given_up, class), at(&before.given_up, class));
+            counts.times[class] = increase(at(&current.times, class), at(&previous.times, class));
+            counts.given_up[class] =
+                increase(at(&current.given_up, class), at(&previous.given_up, class));
         }
         counts
     }
 
-    /// Adds other runs.
+    /// Adds other counts.
     pub fn add(&mut self, other: &Self) {
         self.answered += other.answered;
         self.failed += other.failed;
@@ -99,279 +104,298 @@
         }
     }
 
-    /// Class that half of the answered runs are below or in.
+    /// Returns the time class of the median answered run.
     fn median_class(&self) -> usize {
         let half = self.times.iter().sum::<f64>() / 2.0;
-        let mut below = 0.0;
+        let mut cumulative = 0.0;
         let reaches_half = |count: &f64| {
-            below += count;
-            below >= half
+            cumulative += count;
+            cumulative >= half
         };
         self.times.iter().position(reaches_half).unwrap_or(0)
     }
 
-    /// Runs whose time tells whether they are slow, and those that are. One that was given up
-    /// earlier than a slow one ends tells nothing.
-    fn slow(&self, from: usize) -> (f64, f64) {
-        let late: f64 = self.times[from..].iter().sum();
-        let given_up: f64 = self.given_up[from..].iter().sum();
-        (self.answered + given_up, late + given_up)
+    /// Returns the number of runs that can be classified as slow or not, and of those that are
+    /// slow. A run that was given up before it would have been slow cannot be classified.
+    fn slow_runs(&self, slow_class: usize) -> (f64, f64) {
+        let slow: f64 = self.times[slow_class..].iter().sum();
+        let given_up: f64 = self.given_up[slow_class..].iter().sum();
+        (self.answered + given_up, slow + given_up)
     }
 }
 
-/// Runs of both versions since the last look.
+/// Runs of both versions since the last evaluation.
 #[derive(Debug, Clone, Default)]
 pub struct RunWindow {
-    /// How long it is.
+    /// Length of the period.
     pub span: Duration,
-    /// Of the old version, by route.
-    pub present: IndexMap<ids::EntryName, RunCounts>,
-    /// Canary targets; each is a group, the first ones.
+    /// Runs of the old version by route.
+    pub baseline: IndexMap<ids::EntryName, RunCounts>,
+    /// Number of canary targets; the groups below this number are canaries.
     pub canaries: usize,
-    /// Of the new one, by group and route.
-    pub coming: IndexMap<(u64, ids::EntryName), RunCounts>,
+    /// Runs of the new version by group and route.
+    pub new_version: IndexMap<(u64, ids::EntryName), RunCounts>,
 }
 
 impl RunWindow {
     /// Adds runs of the old version.
     pub fn record_baseline(&mut self, route: &ids::EntryName, counts: &RunCounts) {
-        self.present.entry(route.clone()).or_default().add(counts);
+        self.baseline.entry(route.clone()).or_default().add(counts);
     }
 
     /// Adds runs of the new version.
     pub fn record_new_version(&mut self, group: u64, route: &ids::EntryName, counts: &RunCounts) {
         let key = (group, route.clone());
-        self.coming.entry(key).or_default().add(counts);
+        self.new_version.entry(key).or_default().add(counts);
     }
 }
 
-/// What is wrong with a version.
+/// Ways in which a version can be bad.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FaultKind {
     /// It fails more often.
     Failing,
-    /// More of its runs are slow.
+    /// A larger share of its runs is slow.
     Slow,
-    /// More of its targets are unhealthy; calls are kept away from those, so that they show few runs.
+    /// A larger share of its targets is unhealthy. Such targets are ejected, so they show few runs.
     Unhealthy,
 }
 
-/// What speaks against a version.
+/// Evidence against a version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutFinding {
     /// What is wrong.
     pub kind: FaultKind,
-    /// Route that shows it most; absent where whole targets do.
+    /// Route that shows it most clearly; `None` if the finding concerns whole targets.
     pub route: Option<ids::EntryName>,
-    /// Runs, or targets, of the new version that were weighed.
-    pub weighed: u64,
-    /// Those of them that failed, were slow or are unhealthy.
+    /// Number of evaluated runs, or targets, of the new version.
+    pub evaluated: u64,
+    /// Number of those that failed, were slow or are unhealthy.
     pub bad: u64,
-    /// The same share of the old version, in the same time.
-    pub present_share: f64,
+    /// The same share of the old version in the same period.
+    pub baseline_share: f64,
 }
 
 impl fmt::Display for RolloutFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (bad, weighed) = (self.bad, self.weighed);
-        let percent = self.present_share * 100.0;
+        let (bad, evaluated) = (self.bad, self.evaluated);
+        let percent = self.baseline_share * 100.0;
         let what = match self.kind {
             FaultKind::Failing => "failed",
             FaultKind::Slow => "took four times as long as the old version's median",
             FaultKind::Unhealthy => "are unhealthy",
         };
         match &self.route {
-            Some(route) => write!(f, "{bad} of {weighed} runs of route {route} {what}")?,
-            None => write!(f, "{bad} of {weighed} targets {what}")?,
+            Some(route) => write!(f, "{bad} of {evaluated} runs of route {route} {what}")?,
+            None => write!(f, "{bad} of {evaluated} targets {what}")?,
         }
         write!(f, ", {percent:.0}% of the old version's")
     }
 }
 
-/// Weighs runs as they come.
+/// Judges a version from a stream of run counts.
 pub trait VersionJudge {
-    /// Weighs the runs of some time; `runs_once` tells routes whose calls cannot be tried again.
-    fn observe(&mut self, window: &RunWindow, runs_once: &dyn Fn(&ids::EntryName) -> bool);
+    /// Evaluates the runs of one window. `is_non_idempotent` tells routes whose calls cannot be
+    /// retried.
+    fn observe(&mut self, window: &RunWindow, is_non_idempotent: &dyn Fn(&ids::EntryName) -> bool);
 
-    /// What speaks against the version, if enough does.
+    /// Returns the evidence against the version, if there is enough.
     fn finding(&self) -> Option<RolloutFinding>;
 }
 
-/// Evidence of one kind on one route of one group.
+/// Evidence of one kind for one route of one group.
 #[derive(Debug, Clone, Default)]
-struct EvidenceSum {
-    /// Cumulative sum of log likelihood ratios, never below zero: a version that turns bad late
-    /// is found as fast as one that always was.
+struct CusumScore {
+    /// Cumulative sum of log-likelihood ratios, never below zero, so that a version that turns bad
+    /// late is detected as fast as one that was bad from the start.
     score: f64,
     runs: f64,
     bad: f64,
-    present_share: f64,
+    baseline_share: f64,
 }
 
-impl EvidenceSum {
+impl CusumScore {
     fn observe(
         &mut self,
         runs: f64,
         bad: f64,
-        present_share: f64,
+        baseline_share: f64,
         margins: ShareMargins,
         weight: f64,
     ) {
-        let sound = (present_share + margins.sound).min(0.9);
-        let faulty = (present_share + margins.bad).min(0.95);
-        let of_bad = (faulty / sound).ln();
-        let of_good = ((1.0 - faulty) / (1.0 - sound)).ln();
-        let gain = bad * of_bad + (runs - bad) * of_good;
-        self.score = (self.score + gain * weight).clamp(0.0, CONVICTION);
+        let acceptable_share = (baseline_share + margins.acceptable).min(0.9);
+        let faulty_share = (baseline_share + margins.bad).min(0.95);
+        let llr_of_bad = (faulty_share / acceptable_share).ln();
+        let llr_of_good = ((1.0 - faulty_share) / (1.0 - acceptable_share)).ln();
+        let llr = bad * llr_of_bad + (runs - bad) * llr_of_good;
+        self.score = (self.score + llr * weight).clamp(0.0, REJECTION_SCORE);
         if self.score > 0.0 {
             self.runs += runs;
             self.bad += bad;
         } else {
             (self.runs, self.bad) = (0.0, 0.0);
         }
-        self.present_share = present_share;
+        self.baseline_share = baseline_share;
     }
 }
 
-/// Runs of one route of the old version, over each of the half-lives.
+/// Runs of the old version on one route, decayed with each of the half-lives.
 #[derive(Debug, Clone, Default)]
-struct PresentRuns {
-    faded: [RunCounts; HALF_LIVES_S.len()],
+struct BaselineRuns {
+    decayed: [RunCounts; HALF_LIVES_S.len()],
 }
 
-impl PresentRuns {
-    fn take(&mut self, counts: &RunCounts, span: Duration) {
-        for (faded, half_life_s) in self.faded.iter_mut().zip(HALF_LIVES_S) {
-            faded.scale((-span.as_secs_f64() / half_life_s).exp2());
-            faded.add(counts);
+impl BaselineRuns {
+    fn add_window(&mut self, counts: &RunCounts, span: Duration) {
+        for (decayed, half_life_s) in self.decayed.iter_mut().zip(HALF_LIVES_S) {
+            decayed.scale((-span.as_secs_f64() / half_life_s).exp2());
+            decayed.add(counts);
         }
     }
 
-    fn longest(&self) -> &RunCounts {
-        &self.faded[HALF_LIVES_S.len() - 1]
+    fn long_term(&self) -> &RunCounts {
+        &self.decayed[HALF_LIVES_S.len() - 1]
     }
 
-    /// The larger of the shares over the half-lives.
-    fn larger_share(&self, share: impl Fn(&RunCounts) -> f64) -> f64 {
-        self.faded.iter().map(share).fold(0.0, f64::max)
+    /// Returns the largest of the shares over the half-lives.
+    fn max_share(&self, share: impl Fn(&RunCounts) -> f64) -> f64 {
+        self.decayed.iter().map(share).fold(0.0, f64::max)
     }
 
     fn failing_share(&self) -> f64 {
-        // A failure in ten runs that nobody saw keeps a route without old runs from extremes.
-        self.larger_share(|runs| (runs.failed + 0.5) / (runs.answered + 10.0))
+        // The prior of half a failure in ten runs avoids extreme shares on a route with few old
+        // runs.
+        self.max_share(|runs| (runs.failed + 0.5) / (runs.answered + 10.0))
     }
 
-    /// Class from which on a run is slow, where there are runs enough to tell.
-    fn slow_from(&self) -> Option<usize> {
-        let runs = self.longest();
-        let from = (runs.median_class() + SLOW_CLASSES).min(wire::TIME_CLASSES - 1);
-        (runs.answered >= LEAST_PRESENT_RUNS).then_some(from)
+    /// Returns the time class from which a run is slow; `None` if there are too few runs to tell.
+    fn first_slow_class(&self) -> Option<usize> {
+        let runs = self.long_term();
+        let slow_class = (runs.median_class() + SLOW_CLASS_OFFSET).min(wire::TIME_CLASSES - 1);
+        (runs.answered >= MIN_BASELINE_RUNS).then_some(slow_class)
     }
 
-    fn slow_share(&self, from: usize) -> f64 {
-        self.larger_share(|runs| {
-            let (all, slow) = runs.slow(from);
-            (slow + 0.5) / (all + 10.0)
+    fn slow_share(&self, slow_class: usize) -> f64 {
+        self.max_share(|runs| {
+            let (all, slow_runs) = runs.slow_runs(slow_class);
+            (slow_runs + 0.5) / (all + 10.0)
         })
     }
 }
 
-/// A cumulative sum test of each group and route, added up over groups with a bound on each.
+/// A CUSUM test per group and route, summed over the groups with an upper bound for each.
 #[derive(Debug, Clone, Default)]
 pub struct SequentialJudge {
-    present: IndexMap<ids::EntryName, PresentRuns>,
-    sums: IndexMap<(u64, FaultKind), IndexMap<ids::EntryName, EvidenceSum>>,
+    baseline: IndexMap<ids::EntryName, BaselineRuns>,
+    sums: IndexMap<(u64, FaultKind), IndexMap<ids::EntryName, CusumScore>>,
     group_runs: IndexMap<u64, f64>,
     canaries: usize,
 }
 
 impl SequentialJudge {
-    fn remember_present(&mut self, window: &RunWindow) {
-        for (route, counts) in &window.present {
-            // What was seen last stays while there is nothing newer.
+    fn update_baseline(&mut self, window: &RunWindow) {
+        for (route, counts) in &window.baseline {
+            // The last counts of a route are kept until there are newer ones.
             if counts.answered > 0.0 {
-                let held = self.present.entry(route.clone()).or_default();
-                held.take(counts, window.span);
+                let route_runs = self.baseline.entry(route.clone()).or_default();
+                route_runs.add_window(counts, window.span);
             }
         }
     }
 
-    fn weigh_one(
+    fn observe_group(
         &mut self,
         group: u64,
         route: &ids::EntryName,
         counts: &RunCounts,
         context: RunContext,
     ) {
-        let present = self.present.get(route).cloned().unwrap_or_default();
+        let baseline = self.baseline.get(route).cloned().unwrap_or_default();
         let margins = |margins: ShareMargins| ShareMargins {
-            sound: margins.sound + context.margin,
+            acceptable: margins.acceptable + context.margin,
             bad: margins.bad + context.margin,
         };
-        let mut observe = |kind, (runs, bad): (f64, f64), present_share, bounds| {
+        let mut observe = |kind, (runs, bad): (f64, f64), baseline_share, bounds| {
             let routes = self.sums.entry((group, kind)).or_default();
             let sum = routes.entry(route.clone()).or_default();
-            sum.observe(runs, bad, present_share, margins(bounds), context.weight);
+            sum.observe(runs, bad, baseline_share, margins(bounds), context.weight);
         };
         let failed = (counts.answered, counts.failed);
-        let failing = present.failing_share();
-        observe(FaultKind::Failing, failed, failing, FAILURE_MARGINS);
-        if let Some(from) = present.slow_from() {
-            let slow_share = present.slow_share(from);
-            observe(FaultKind::Slow, counts.slow(from), slow_share, SLOW_MARGINS);
+        let baseline_failing = baseline.failing_share();
+        observe(
+            FaultKind::Failing,
+            failed,
+            baseline_failing,
+            FAILURE_MARGINS,
+        );
+        if let Some(slow_class) = baseline.first_slow_class() {
+            let slow_share = baseline.slow_share(slow_class);
+            observe(
+                FaultKind::Slow,
+                counts.slow_runs(slow_class),
+                slow_share,
+                SLOW_MARGINS,
+            );
         }
     }
 
-    /// Canary targets that have had enough runs to count.
+    /// Returns the number of canary targets with enough runs to count.
     fn canaries(&self) -> usize {
         let groups = self.group_runs.iter();
         let counted = groups
-            .filter(|(group, runs)| **group < self.canaries as u64 && **runs >= LEAST_GROUP_RUNS);
+            .filter(|(group, runs)| **group < self.canaries as u64 && **runs >= MIN_GROUP_RUNS);
         counted.count()
     }
 
-    /// Evidence of a kind over all groups, each with its bound.
-    fn total(&self, kind: FaultKind) -> f64 {
-        let bound = CONVICTION * GROUP_PARTS[self.canaries().min(GROUP_PARTS.len() - 1)];
-        let of_kind = self.sums.iter().filter(|((_, known), _)| *known == kind);
-        let bounded = |((group, _), routes): (&(u64, FaultKind), &IndexMap<_, EvidenceSum>)| {
+    /// Returns the evidence of a kind summed over all groups, each limited to its bound.
+    fn total_score(&self, kind: FaultKind) -> f64 {
+        let bound =
+            REJECTION_SCORE * GROUP_SCORE_SHARES[self.canaries().min(GROUP_SCORE_SHARES.len() - 1)];
+        let kind_sums = self
+            .sums
+            .iter()
+            .filter(|((_, other_kind), _)| *other_kind == kind);
+        let bounded = |((group, _), routes): (&(u64, FaultKind), &IndexMap<_, CusumScore>)| {
             let is_canary = *group < self.canaries as u64;
             let bound = if is_canary {
                 bound
             } else {
-                bound * RESERVE_PART
+                bound * RESERVE_SCORE_RATIO
             };
             let score: f64 = routes.values().map(|sum| sum.score).sum();
             score.min(bound)
         };
-        of_kind.map(bounded).sum()
+        kind_sums.map(bounded).sum()
     }
 
-    fn worst(&self, kind: FaultKind) -> Option<RolloutFinding> {
-        let of_kind = self.sums.iter().filter(|((_, known), _)| *known == kind);
-        let mut routes: IndexMap<&ids::EntryName, EvidenceSum> = IndexMap::new();
-        for (route, sum) in of_kind.flat_map(|(_, routes)| routes) {
+    fn worst_route(&self, kind: FaultKind) -> Option<RolloutFinding> {
+        let kind_sums = self
+            .sums
+            .iter()
+            .filter(|((_, other_kind), _)| *other_kind == kind);
+        let mut routes: IndexMap<&ids::EntryName, CusumScore> = IndexMap::new();
+        for (route, sum) in kind_sums.flat_map(|(_, routes)| routes) {
             let total = routes.entry(route).or_default();
             total.score += sum.score;
             total.runs += sum.runs;
             total.bad += sum.bad;
-            total.present_share = sum.present_share;
+            total.baseline_share = sum.baseline_share;
         }
-        let worst = routes
+        let worst_route = routes
             .into_iter()
-            .max_by(|(_, one), (_, other)| one.score.total_cmp(&other.score))?;
-        let (route, sum) = worst;
+            .max_by(|(_, left), (_, right)| left.score.total_cmp(&right.score))?;
+        let (route, sum) = worst_route;
         Some(RolloutFinding {
             kind,
             route: Some(route.clone()),
-            weighed: sum.runs as u64,
+            evaluated: sum.runs as u64,
             bad: sum.bad as u64,
-            present_share: sum.present_share,
+            baseline_share: sum.baseline_share,
         })
     }
 }
 
-/// What a group's runs are weighed beside.
+/// Parameters that a group's runs are evaluated with.
 #[derive(Debug, Clone, Copy)]
 struct RunContext {
     margin: f64,
@@ -379,19 +403,31 @@
 }
 
 impl VersionJudge for SequentialJudge {
-    fn observe(&mut self, window: &RunWindow, runs_once: &dyn Fn(&ids::EntryName) -> bool) {
-        self.remember_present(window);
+    fn observe(&mut self, window: &RunWindow, is_non_idempotent: &dyn Fn(&ids::EntryName) -> bool) {
+        self.update_baseline(window);
         self.canaries = window.canaries;
-        let present_runs: f64 = window.present.values().map(|counts| counts.answered).sum();
-        let coming_runs: f64 = window.coming.values().map(|counts| counts.answered).sum();
-        let is_alone = present_runs < coming_runs;
-        for ((group, route), counts) in &window.coming {
+        let baseline_total: f64 = window.baseline.values().map(|counts| counts.answered).sum();
+        let new_total: f64 = window
+            .new_version
+            .values()
+            .map(|counts| counts.answered)
+            .sum();
+        let lacks_baseline = baseline_total < new_total;
+        for ((group, route), counts) in &window.new_version {
             *self.group_runs.entry(*group).or_default() += counts.answered;
             let context = RunContext {
-                margin: if is_alone { ALONE_MARGIN } else { 0.0 },
-                weight: if runs_once(route) { ONCE_WEIGHT } else { 1.0 },
+                margin: if lacks_baseline {
+                    NO_BASELINE_MARGIN
+                } else {
+                    0.0
+                },
+                weight: if is_non_idempotent(route) {
+                    NON_IDEMPOTENT_WEIGHT
+                } else {
+                    1.0
+                },
             };
-            self.weigh_one(*group, route, counts, context);
+            self.observe_group(*group, route, counts, context);
         }
     }
 
@@ -399,7 +435,7 @@
         let kinds = [FaultKind::Failing, FaultKind::Slow];
         let kind = kinds
             .into_iter()
-            .find(|kind| self.total(*kind) >= CONVICTION)?;
-        self.worst(kind)
+            .find(|kind| self.total_score(*kind) >= REJECTION_SCORE)?;
+        self.worst_route(kind)
     }
 }
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Steps of a roll-out, which targets its calls go to, and what its evidence counts.
+//! Tests of the steps of a rollout, the cohorts of its targets and the evidence that it counts.
 
 use std::time::Duration;
 
@@ -61,8 +61,8 @@
 }
 
 fn count(targets: &[table::ReadyTarget], wanted: cohort::TargetCohort) -> usize {
-    let fits = |target: &&table::ReadyTarget| target.cohort == wanted;
-    targets.iter().filter(fits).count()
+    let is_wanted = |target: &&table::ReadyTarget| target.cohort == wanted;
+    targets.iter().filter(is_wanted).count()
 }
 
 fn situation(phase: rollout::RolloutPhase, elapsed: Duration) -> plan::RolloutSituation {
@@ -75,7 +75,7 @@
         finding: None,
         observed: plan::ObservedRuns {
             runs: 500.0,
-            present: 8000.0,
+            old_runs: 8000.0,
             span: elapsed,
         },
         slots: cohort::SlotCount { old: 60, new: 60 },
@@ -93,9 +93,9 @@
     verdict::RolloutFinding {
         kind: verdict::FaultKind::Failing,
         route: Some(name("issue")),
-        weighed: 20,
+        evaluated: 20,
         bad: 9,
-        present_share: 0.01,
+        baseline_share: 0.01,
     }
 }
 
@@ -107,23 +107,23 @@
     assert_eq!(canaries, 3);
     assert_eq!(count(&all, cohort::TargetCohort::Reserve), 53);
     assert_eq!(count(&all, cohort::TargetCohort::Present), 56);
-    let of_canary = share * cohort::CANARY_TRIAL_SHARE / canaries as f64;
-    let of_present = 1.0 / (56.0 + 3.0);
+    let canary_share = share * cohort::CANARY_TRIAL_SHARE / canaries as f64;
+    let old_share = 1.0 / (56.0 + 3.0);
     assert!(
-        (of_canary - of_present).abs() < 1e-9,
-        "{of_canary} beside {of_present}"
+        (canary_share - old_share).abs() < 1e-9,
+        "{canary_share} beside {old_share}"
     );
 }
 
 #[test]
-fn canaries_agreed_on() {
+fn canaries_deterministic() {
     let trial = entry(rollout::RolloutPhase::Trial);
     let names = |mut all: Vec<table::ReadyTarget>| {
         cohort::assign(&trial, &mut all);
         let canary = all
             .into_iter()
-            .filter(|one| one.cohort == cohort::TargetCohort::Canary);
-        let mut names: Vec<ids::TargetName> = canary.map(|one| one.target).collect();
+            .filter(|target| target.cohort == cohort::TargetCohort::Canary);
+        let mut names: Vec<ids::TargetName> = canary.map(|target| target.target).collect();
         names.sort();
         names
     };
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn taken_back_unused() {
+fn rolled_back_unused() {
     let mut all = both(4, 4);
     cohort::assign(&entry(rollout::RolloutPhase::RolledBack), &mut all);
     assert!(
@@ -143,17 +143,17 @@
 }
 
 #[test]
-fn old_left_at_end() {
+fn old_unused_after_success() {
     let mut all = both(4, 4);
     cohort::assign(&entry(rollout::RolloutPhase::Succeeded), &mut all);
     assert!(
         all.iter()
             .all(|target| target.version == Some(version("v2")))
     );
-    let mut untold = both(0, 4);
-    untold.extend(targets("", 2));
-    cohort::assign(&entry(rollout::RolloutPhase::Succeeded), &mut untold);
-    assert_eq!(untold.len(), 4, "targets that tell no version are old");
+    let mut unversioned = both(0, 4);
+    unversioned.extend(targets("", 2));
+    cohort::assign(&entry(rollout::RolloutPhase::Succeeded), &mut unversioned);
+    assert_eq!(unversioned.len(), 4, "targets without a version are old");
     let mut only_old = targets("v1", 4);
     cohort::assign(&entry(rollout::RolloutPhase::Succeeded), &mut only_old);
     assert_eq!(only_old.len(), 4, "old targets are better than none");
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn finding_ends_it() {
+fn finding_rolls_back() {
     let phases = [
         rollout::RolloutPhase::Trial,
         rollout::RolloutPhase::Widening,
@@ -195,7 +195,7 @@
             finding: Some(finding()),
             ..situation(phase, Duration::from_secs(3))
         };
-        let step = plan::next_step(&found).expect("it is taken back");
+        let step = plan::next_step(&found).expect("it is rolled back");
         assert_eq!(step.phase, rollout::RolloutPhase::RolledBack);
         assert_eq!(
             step.reason,
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn calls_left_first() {
+fn waits_for_old_calls() {
     let switched = rollout::RolloutPhase::Switched;
     let busy = plan::RolloutSituation {
         old_in_flight: 3,
@@ -220,12 +220,12 @@
 }
 
 #[test]
-fn slots_missing_told() {
+fn missing_slots_reported() {
     let late = plan::RolloutSituation {
         slots: cohort::SlotCount { old: 60, new: 12 },
         ..situation(rollout::RolloutPhase::Trial, Duration::from_secs_f64(11.7))
     };
-    let step = plan::next_step(&late).expect("its time is over");
+    let step = plan::next_step(&late).expect("the time limit is reached");
     assert_eq!(step.phase, rollout::RolloutPhase::RolledBack);
     assert_eq!(
         step.reason,
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn lost_count_taken_back() {
+fn unknown_elapsed_rolled_back() {
     let lost = plan::RolloutSituation {
         elapsed: None,
         ..situation(rollout::RolloutPhase::Trial, Duration::from_secs(1))
@@ -247,7 +247,7 @@
     let mut table = tally::TallyTable::default();
     let target = "t-1".parse().expect("it is a name");
     let trial = entry(rollout::RolloutPhase::Trial);
-    let own = table.of_target(&target, &trial, Some(&trial.to));
+    let target_tally = table.target_tally(&target, &trial, Some(&trial.to));
     let took = Duration::from_millis(100);
     let route = name("issue");
     for result in [
@@ -261,7 +261,7 @@
         calls::RunResult::TimedOut,
         calls::RunResult::CallerGone,
     ] {
-        own.note(&route, took, result);
+        target_tally.record(&route, took, result);
     }
     let (_, _, tally) = table.iter().next().expect("a route had runs");
     assert_eq!((tally.answered, tally.failed), (2, 1));
@@ -270,15 +270,15 @@
 }
 
 #[test]
-fn another_version_anew() {
+fn new_version_restarts_count() {
     let mut table = tally::TallyTable::default();
     let target: ids::TargetName = "t-1".parse().expect("it is a name");
     let trial = entry(rollout::RolloutPhase::Trial);
     let route = name("issue");
     for version in ["v1", "v2"] {
         let version = self::version(version);
-        let own = table.of_target(&target, &trial, Some(&version));
-        own.note(
+        let target_tally = table.target_tally(&target, &trial, Some(&version));
+        target_tally.record(
             &route,
             Duration::ZERO,
             calls::RunResult::Done { status: 200 },
@@ -305,45 +305,49 @@
 fn stale_report_not_trusted() {
     let at = |millis: u64| time::MonotonicTime(millis * 1000);
     let mut evidence = evidence::RolloutEvidence::default();
-    evidence.take(tally("t-1", 1, 0), at(900));
-    let left = |evidence: &evidence::RolloutEvidence, now| {
+    evidence.record_tally(tally("t-1", 1, 0), at(900));
+    let in_flight = |evidence: &evidence::RolloutEvidence, now| {
         evidence.old_in_flight(&version("v2"), at(1000), at(now))
     };
-    assert_eq!(left(&evidence, 1200), 1, "it may have got a call since");
-    evidence.take(tally("t-1", 2, 2), at(1300));
-    assert_eq!(left(&evidence, 1400), 2);
-    evidence.take(tally("t-1", 3, 0), at(1600));
-    assert_eq!(left(&evidence, 1700), 0);
-    evidence.take(tally("t-2", 1, 4), at(950));
-    assert_eq!(left(&evidence, 1700), 1);
-    assert_eq!(left(&evidence, 9000), 0, "its node is gone");
+    assert_eq!(
+        in_flight(&evidence, 1200),
+        1,
+        "it may have got a call since the report"
+    );
+    evidence.record_tally(tally("t-1", 2, 2), at(1300));
+    assert_eq!(in_flight(&evidence, 1400), 2);
+    evidence.record_tally(tally("t-1", 3, 0), at(1600));
+    assert_eq!(in_flight(&evidence, 1700), 0);
+    evidence.record_tally(tally("t-2", 1, 4), at(950));
+    assert_eq!(in_flight(&evidence, 1700), 1);
+    assert_eq!(in_flight(&evidence, 9000), 0, "its node is presumed gone");
 }
 
 #[test]
-fn unseen_not_widened() {
+fn unobserved_not_widened() {
     let trial = rollout::RolloutPhase::Trial;
     let at = |seconds, runs, span| plan::RolloutSituation {
         observed: plan::ObservedRuns {
             runs,
-            present: runs * 16.0,
+            old_runs: runs * 16.0,
             span: Duration::from_secs_f64(span),
         },
         ..situation(trial, Duration::from_secs_f64(seconds))
     };
-    // Targets that have only just come, or that are still cold, have shown nothing.
+    // Targets that have just appeared or are still cold have shown nothing.
     assert_eq!(next_phase(&at(9.5, 0.0, 0.0)), None);
     assert_eq!(next_phase(&at(9.5, 400.0, 1.0)), None);
     assert_eq!(
         next_phase(&at(9.5, 400.0, 2.5)),
         Some(rollout::RolloutPhase::Widening)
     );
-    // Of a service with few calls fewer runs do, after longer.
+    // For a service with few calls, fewer runs suffice after a longer time.
     assert_eq!(next_phase(&at(9.5, 6.0, 3.0)), None);
     assert_eq!(
         next_phase(&at(9.5, 6.0, 5.0)),
         Some(rollout::RolloutPhase::Widening)
     );
-    let step = plan::next_step(&at(11.7, 12.0, 1.5)).expect("its time is over");
+    let step = plan::next_step(&at(11.7, 12.0, 1.5)).expect("the time limit is reached");
     assert_eq!(step.phase, rollout::RolloutPhase::RolledBack);
     assert_eq!(step.reason, "only 12 of its runs were seen, over 1.5 s");
 }
@@ -354,7 +358,7 @@
     let starved = plan::RolloutSituation {
         observed: plan::ObservedRuns {
             runs: 60.0,
-            present: 8000.0,
+            old_runs: 8000.0,
             span: Duration::from_secs(8),
         },
         ..situation(trial, Duration::from_secs_f64(9.5))
@@ -363,27 +367,31 @@
 }
 
 #[test]
-fn ejected_canaries_convict() {
+fn ejected_canaries_rolled_back() {
     let mut evidence = evidence::RolloutEvidence::default();
-    let mut take = |target: &str, text: &str, is_failing| {
+    let mut record_tally = |target: &str, text: &str, is_failing| {
         let route = wire::RouteTally {
             answered: 9,
             ..wire::RouteTally::new(name("issue"))
         };
-        let told = wire::TargetTally {
+        let report = wire::TargetTally {
             version: Some(version(text)),
             is_failing,
             routes: vec![route],
             ..tally(target, 1, 0)
         };
-        evidence.take(told, time::MonotonicTime(1));
+        evidence.record_tally(report, time::MonotonicTime(1));
         evidence.finding(&version("v2"))
     };
     for old in ["a", "b", "c", "d"] {
-        assert_eq!(take(old, "v1", old == "a"), None);
+        assert_eq!(record_tally(old, "v1", old == "a"), None);
     }
-    assert_eq!(take("e", "v2", true), None, "one machine may be at fault");
-    let found = take("f", "v2", true).expect("two of two are");
+    assert_eq!(
+        record_tally("e", "v2", true),
+        None,
+        "one machine may be at fault"
+    );
+    let found = record_tally("f", "v2", true).expect("two of two targets are unhealthy");
     let text = "2 of 2 targets are unhealthy, 25% of the old version's";
     assert_eq!(found.to_string(), text);
 }
@@ -394,8 +402,8 @@
         from: Vec::new(),
         ..entry(rollout::RolloutPhase::Succeeded)
     };
-    let seen = ["v1", "v2", "v1"].map(version).to_vec();
-    let ended = ordered.with_old_versions(seen);
+    let versions = ["v1", "v2", "v1"].map(version).to_vec();
+    let ended = ordered.with_old_versions(versions);
     assert_eq!(ended.from, [version("v1")]);
     let mut all = both(4, 4);
     cohort::assign(&ended, &mut all);
