--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -190,7 +190,7 @@
             event::Effect::Dissemination(effect) => self.run_dissemination(effect),
             // What is open to the target is closed by whoever holds it.
             event::Effect::Membership(membership::MembershipEffect::Withdraw(_))
-            | event::Effect::Note(_) => {}
+            | event::Effect::RecordEvent(_) => {}
             event::Effect::Calls(effect) => self.run_call(effect),
             event::Effect::Ledger(ledger::LedgerEffect::Persist(batch)) => {
                 if let Some(claims) = &self.outlets.claims {
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -157,7 +157,7 @@
                     .note(TimelineEvent::TargetWithdrawn { target });
             }
             event::Effect::Calls(effect) => self.call_effect(state, effect),
-            event::Effect::Note(event) => self.timeline.note(event.clone()),
+            event::Effect::RecordEvent(event) => self.timeline.note(event.clone()),
             _ => {}
         }
     }
--- a/crates/daemon/src/observer/usage.rs
+++ b/crates/daemon/src/observer/usage.rs
@@ -143,7 +143,7 @@
         self.others = UsageSums::default();
         let used = self.routes.drain(..);
         let used = used.map(|(route, sums)| (route, sums.usage()));
-        let mut troubled: Vec<_> = used.filter(|(_, usage)| usage.is_trouble()).collect();
+        let mut troubled: Vec<_> = used.filter(|(_, usage)| usage.has_failures()).collect();
         troubled.sort_by_key(|(_, usage)| std::cmp::Reverse(usage.refused + usage.declined));
         troubled.truncate(MOST_LINES);
         for (route, usage) in troubled {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -183,7 +183,7 @@
         self.installation.apply(&mut tunables);
         for (group, names) in &self.given_tunables {
             for (name, value) in names {
-                let place = tunables.place(group, name);
+                let place = tunables.value_mut(group, name);
                 let unknown = || serde_json::Error::custom(format!("no {group}.{name}"));
                 *place.ok_or_else(unknown)? = *value;
             }
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -180,7 +180,7 @@
             at,
             event,
         };
-        let ring = if record.event.is_of_calls() {
+        let ring = if record.event.is_call_event() {
             &mut state.calls
         } else {
             &mut state.system
@@ -192,7 +192,7 @@
     /// Logs all that was kept of a request that has ended, if it did not end well or is one of those
     /// that are logged anyway.
     pub fn log_request(&self, records: &[TimelineRecord]) {
-        let is_trouble = records.iter().any(|record| record.event.is_trouble());
+        let is_trouble = records.iter().any(|record| record.event.needs_attention());
         let request = records.iter().find_map(|record| record.event.request());
         if !is_trouble && !request.is_some_and(is_sampled) {
             return;
@@ -288,7 +288,7 @@
 }
 
 fn record_level(event: &timeline::TimelineEvent) -> log::Level {
-    if event.is_trouble() {
+    if event.needs_attention() {
         log::Level::Warn
     } else {
         log::Level::Info
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -158,7 +158,7 @@
     health::record_run_result(state, &offer.target, result, is_late);
     if result == calls::RunResult::Misplaced {
         let gone = membership::MembershipEvent::Misplaced(offer.target.clone());
-        output.follow(event::Event::Membership(gone));
+        output.enqueue(event::Event::Membership(gone));
     }
     let took = state.now.since(started);
     rollout::record_run(state, offer, took, result);
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -63,7 +63,7 @@
     /// Of targets' health.
     Health(health::HealthEffect),
     /// Put an event into the time line.
-    Note(timeline::TimelineEvent),
+    RecordEvent(timeline::TimelineEvent),
 }
 
 /// Where a submodule puts what follows from an event.
@@ -72,7 +72,7 @@
     /// Effects, in order.
     pub effects: Vec<Effect>,
     /// Events for other submodules, reduced before `reduce` returns.
-    pub follow_ups: std::collections::VecDeque<Event>,
+    pub queued_events: std::collections::VecDeque<Event>,
 }
 
 impl ReducerOutput {
@@ -88,12 +88,12 @@
     }
 
     /// Puts an event into the time line.
-    pub fn note(&mut self, event: timeline::TimelineEvent) {
-        self.effects.push(Effect::Note(event));
+    pub fn record_event(&mut self, event: timeline::TimelineEvent) {
+        self.effects.push(Effect::RecordEvent(event));
     }
 
     /// Has another submodule take an event.
-    pub fn follow(&mut self, event: Event) {
-        self.follow_ups.push_back(event);
+    pub fn enqueue(&mut self, event: Event) {
+        self.queued_events.push_back(event);
     }
 }
--- a/crates/engine/src/failed_store.rs
+++ b/crates/engine/src/failed_store.rs
@@ -35,12 +35,12 @@
     }
 
     /// Notes that this batch holds everything and is on its way.
-    pub(crate) fn give(&mut self, batch: u64) {
+    pub(crate) fn record_rewrite(&mut self, batch: u64) {
         self.awaited = Some(batch);
     }
 
     /// Whether a batch that is kept now was the one that holds everything.
-    pub(crate) fn has_returned(&self, kept: u64) -> bool {
+    pub(crate) fn is_recovered(&self, kept: u64) -> bool {
         self.awaited.is_some_and(|awaited| awaited <= kept)
     }
 }
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -230,7 +230,7 @@
     let message = message::PeerMessage::Ledger(message);
     if to == state.settings.identity.address {
         let from = state.settings.identity.clone();
-        output.follow(event::Event::Received { from, message });
+        output.enqueue(event::Event::Received { from, message });
     } else {
         output.send(to, message);
     }
--- a/crates/engine/src/ledger/acceptor.rs
+++ b/crates/engine/src/ledger/acceptor.rs
@@ -171,7 +171,7 @@
     }
     match &mut acceptor.failure {
         Some(failure) if failure.is_due(now) => {
-            failure.give(acceptor.last_batch + 1);
+            failure.record_rewrite(acceptor.last_batch + 1);
             acceptor.unwritten.clear();
             acceptor.write_whole(output);
         }
@@ -270,7 +270,7 @@
         return;
     };
     if let Some(failure) = &acceptor.failure {
-        if !failure.has_returned(batch) {
+        if !failure.is_recovered(batch) {
             return;
         }
         acceptor.failure = None;
--- a/crates/engine/src/ledger/race.rs
+++ b/crates/engine/src/ledger/race.rs
@@ -94,7 +94,7 @@
     let own = own.expect("its race was just found");
     own.phase = claims::ClaimPhase::Running;
     let claimed = calls::CallEvent::Claimed(own.call);
-    output.follow(event::Event::Calls(claimed));
+    output.enqueue(event::Event::Calls(claimed));
 }
 
 /// Takes a control's vote against a claim.
--- a/crates/engine/src/membership/own.rs
+++ b/crates/engine/src/membership/own.rs
@@ -48,14 +48,14 @@
 ) {
     if is_foreign(state, &announcement.record) {
         let record = announcement.record;
-        return output.note(timeline::TimelineEvent::AnnouncementForeign {
+        return output.record_event(timeline::TimelineEvent::AnnouncementForeign {
             target: record.name,
             service: record.service,
         });
     }
     if is_outdated(state, &announcement) {
         let record = announcement.record;
-        return output.note(timeline::TimelineEvent::AnnouncementOutdated {
+        return output.record_event(timeline::TimelineEvent::AnnouncementOutdated {
             target: record.name,
             state: record.state,
             sequence: announcement.sequence.unwrap_or_default(),
@@ -77,14 +77,14 @@
         .map_or(told_warm, |known| known.warm_at.min(told_warm));
     let is_ready = record.state == wire::TargetState::Ready;
     if is_restart {
-        output.note(timeline::TimelineEvent::TargetRestarted {
+        output.record_event(timeline::TimelineEvent::TargetRestarted {
             target: name.clone(),
             incarnation: record.incarnation,
         });
         calls::end_life(state, &name, output);
     }
     if is_news {
-        output.note(timeline::TimelineEvent::TargetAnnounced {
+        output.record_event(timeline::TimelineEvent::TargetAnnounced {
             target: name.clone(),
             service: record.service.clone(),
             state: record.state,
--- a/crates/engine/src/reducer.rs
+++ b/crates/engine/src/reducer.rs
@@ -77,8 +77,8 @@
 ) -> Vec<event::Effect> {
     state.now = state.now.max(now);
     let mut output = event::ReducerOutput::default();
-    output.follow(event);
-    while let Some(next) = output.follow_ups.pop_front() {
+    output.enqueue(event);
+    while let Some(next) = output.queued_events.pop_front() {
         let first = output.effects.len();
         dispatch(state, next, &mut output);
         ledger::settle_refusals(state, first, &mut output);
--- a/crates/engine/src/replication/follower.rs
+++ b/crates/engine/src/replication/follower.rs
@@ -102,7 +102,9 @@
         let machine = machine::LogMachine::restore(&snapshot);
         if machine.catalogue.version > self.machine.catalogue.version {
             let restored = dissemination::DisseminationEvent::Restored(machine.catalogue.clone());
-            context.output.follow(event::Event::Dissemination(restored));
+            context
+                .output
+                .enqueue(event::Event::Dissemination(restored));
         }
         self.machine = machine;
         self.commit = position;
--- a/crates/engine/src/replication/leader.rs
+++ b/crates/engine/src/replication/leader.rs
@@ -388,7 +388,7 @@
                 let follow_up = dissemination::DisseminationEvent::Committed(committed);
                 context
                     .output
-                    .follow(event::Event::Dissemination(follow_up));
+                    .enqueue(event::Event::Dissemination(follow_up));
             }
         }
         if let ReplicaRole::Leader(leader) = &mut self.role {
--- a/crates/engine/src/replication/persist.rs
+++ b/crates/engine/src/replication/persist.rs
@@ -198,7 +198,7 @@
     /// The store has kept a batch and all before it.
     pub(super) fn persisted(&mut self, context: &mut ReplicaContext, batch: u64) {
         if let Some(failure) = self.failure {
-            if failure.has_returned(batch) {
+            if failure.is_recovered(batch) {
                 self.store_returned(context);
             }
             return;
--- a/crates/engine/src/replication/store_failure.rs
+++ b/crates/engine/src/replication/store_failure.rs
@@ -51,7 +51,7 @@
             snapshot: Some(Box::new(self.snapshot())),
             ..self.writes.next_batch()
         };
-        failure.give(batch.batch);
+        failure.record_rewrite(batch.batch);
         self.failure = Some(failure);
         let effect = ReplicationEffect::Persist(Box::new(batch));
         context
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -228,7 +228,7 @@
         let previous = previous.filter(|previous| previous.order == entry.order);
         let is_new_phase = previous.is_none_or(|previous| previous.phase != entry.phase);
         if is_new_phase {
-            output.note(timeline::TimelineEvent::RolloutAdvanced {
+            output.record_event(timeline::TimelineEvent::RolloutAdvanced {
                 service: entry.name.clone(),
                 to: entry.to.clone(),
                 phase: entry.phase,
@@ -304,7 +304,7 @@
             elapsed,
         };
         let proposal_event = replication::ReplicationEvent::Steer(Box::new(proposal));
-        output.follow(event::Event::Replication(proposal_event));
+        output.enqueue(event::Event::Replication(proposal_event));
     }
 }
 
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -63,7 +63,7 @@
             }
 
             /// The place of a tunable; `None` when there is no such one.
-            pub fn place(&mut self, group: &str, name: &str) -> Option<&mut u64> {
+            pub fn value_mut(&mut self, group: &str, name: &str) -> Option<&mut u64> {
                 match (group, name) {
                     $($((stringify!($group), stringify!($name)) => {
                         Some(&mut self.$group.$name)
--- a/crates/engine/src/timeline.rs
+++ b/crates/engine/src/timeline.rs
@@ -403,7 +403,7 @@
 
 impl RouteUsage {
     /// Whether calls were refused or runs came to nothing.
-    pub fn is_trouble(&self) -> bool {
+    pub fn has_failures(&self) -> bool {
         self.refused + self.declined + self.failed > 0
     }
 }
@@ -427,12 +427,12 @@
     }
 
     /// Whether it tells of calls: those are kept apart from what happens to the configuration.
-    pub fn is_of_calls(&self) -> bool {
+    pub fn is_call_event(&self) -> bool {
         self.request().is_some() || matches!(self, Self::RouteUsage { .. })
     }
 
     /// Whether an operator should look at it.
-    pub fn is_trouble(&self) -> bool {
+    pub fn needs_attention(&self) -> bool {
         matches!(
             self,
             Self::ChangeUnknown { .. }
