--- a/crates/engine/src/replication/persist.rs
+++ b/crates/engine/src/replication/persist.rs
@@ -211,7 +211,7 @@
     /// Handles the report that a batch and all earlier ones are synced.
     pub(super) fn handle_persisted(&mut self, context: &mut ReplicaContext, batch: u64) {
         if let Some(failure) = self.store_failure {
-            if failure.has_returned(batch) {
+            if failure.is_recovered(batch) {
                 self.handle_store_recovered(context);
             }
             return;
