--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -1,8 +1,9 @@
-//! A call's way through this process, as ingress node, as owner node or as both.
+//! The path of a call through this process, as ingress node, owner node or both.
 //!
-//! The ingress node finds the route and offers the call to a target's owner node; the owner node
-//! gives it a slot and runs it. Bodies and answers stream beside this module, which sees only how
-//! each step ended.
+//! The ingress node matches the request to a route, chooses a target and offers the call to the
+//! node that owns the target. The owner node admits the call to one of the target's slots and runs
+//! it, that is, sends it to the target. Request and response bodies are streamed outside this
+//! module, which only learns how each step ended.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,193 +13,193 @@
 
 use crate::{event, ledger, reducer, rollout::cohort, routing};
 
+pub mod attributes;
+pub mod caller_timeout;
 mod ingress;
 mod owner;
-pub mod terms;
 pub mod throttle;
 pub mod transit;
-pub mod usual;
 
 pub use owner::{end_incarnation, evict};
 
-/// A request that a caller sent to this node.
+/// A request that a caller sent to this node, which is its ingress node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallArrival {
-    /// Its number.
+    /// Identifier of the call within this process.
     pub call: ids::CallId,
-    /// Host without port.
+    /// Requested host without the port.
     pub host: Option<String>,
-    /// Path without query.
+    /// Path without the query string.
     pub path: String,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// The caller's key.
+    /// Idempotency key that the caller sent.
     pub key: Option<String>,
-    /// Time that the caller leaves.
+    /// Time left until the caller's deadline, if it sent one.
     pub deadline_left: Option<Duration>,
-    /// The largest number of a try along the call's way here; 1 where none was told.
+    /// Highest attempt number on the call's path to this node; 1 if the request carried none.
     pub attempt: u32,
-    /// Digest that stands for the request, where it can be told from others.
+    /// Digest that identifies the request, if it can be distinguished from other requests.
     pub fingerprint: Option<wire_ledger::RequestDigest>,
-    /// Service whose target sent it, where one did.
+    /// Service of the target that sent the request, if a target sent it.
     pub caller: Option<ids::EntryName>,
 }
 
-/// How one try ended at the ingress node.
+/// How one attempt of a call ended, as seen by the ingress node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptResult {
-    /// The target's answer has begun.
+    /// The head of the target's response arrived.
     Answered {
-        /// Its HTTP status.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// The owner node refused.
+    /// The owner node refused the call.
     Refused(wire::CallRefusal),
-    /// The owner node was not reached: nothing of the request was sent.
+    /// The owner node could not be reached; no part of the request was sent.
     NotReached,
-    /// The link broke after something was sent.
+    /// The connection to the owner node broke after part of the request was sent.
     Lost,
 }
 
-/// What came with the end of a try.
+/// Measurements that accompany the end of an attempt.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AttemptReport {
-    /// What the owner node said of its target.
+    /// Load of the target as reported by its owner node.
     pub load: Option<wire::LoadReport>,
-    /// Bytes of the request's body and of its answer's, where they are known.
+    /// Size of the request and response bodies together, in bytes; 0 if unknown.
     pub bytes: u64,
 }
 
-/// How a run ended at the owner node.
+/// How a run of a call at its target ended, as seen by the owner node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunResult {
-    /// The whole answer passed.
+    /// The complete response was forwarded.
     Done {
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// No connection to the target could be made: nothing was sent.
+    /// No connection to the target could be opened; nothing was sent.
     NotConnected,
-    /// The target said that it did not run the request.
+    /// The target answered that it did not run the request.
     Declined,
-    /// Another target answers at the address; the request did not run.
+    /// A different target answers at the address; the request did not run.
     WrongTarget,
-    /// What came is no whole answer to this request.
+    /// The target sent something that is not a complete response to the request.
     Malformed,
-    /// The target closed the connection before the first byte of an answer.
+    /// The target closed the connection before the first byte of a response.
     Crashed,
-    /// The first byte of an answer did not come in time.
+    /// The first byte of the response did not arrive in time.
     TimedOut,
-    /// The target broke off its answer.
+    /// The target broke off its response midway.
     Truncated,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// Events of calls.
+/// Events that concern calls.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallEvent {
-    /// A caller's request came.
+    /// A caller's request arrived at this node.
     Arrived(CallArrival),
-    /// A try of a call ended.
+    /// An attempt of a call ended.
     AttemptEnded {
-        /// Which call.
+        /// The call.
         call: ids::CallId,
-        /// How.
+        /// How the attempt ended.
         result: AttemptResult,
-        /// What came with it.
+        /// Measurements of the attempt.
         report: AttemptReport,
     },
-    /// The claim on a keyed call is this node's: it may be sent.
+    /// This node holds the claim on a call with an idempotency key, so the call may be sent.
     Claimed(ids::CallId),
-    /// The ingress node is done with a call.
+    /// The ingress node has finished a call.
     Finished(ids::CallId),
-    /// A call was offered to this node for an own target.
+    /// A call was offered to this node for one of the targets that it owns.
     Offered {
-        /// Number of the call in this process.
+        /// Identifier of the call within this process.
         call: ids::CallId,
         /// The offer.
         offer: wire::CallOffer,
     },
-    /// The run of an offered call ended, or its ingress node gave it up.
+    /// The run of an offered call ended, or its ingress node abandoned the call.
     RunEnded {
-        /// Which call.
+        /// The call.
         call: ids::CallId,
-        /// How.
+        /// How the run ended.
         result: RunResult,
     },
 }
 
-/// A try that the ingress node makes.
+/// An attempt that the ingress node is to make.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptPlan {
-    /// The chosen target and its node.
+    /// The chosen target and its owner node.
     pub candidate: routing::TargetCandidate,
-    /// What is offered.
+    /// The offer to send.
     pub offer: wire::CallOffer,
-    /// Whether the call is claimed: then it goes on when its caller goes.
+    /// Whether the call is claimed; a claimed call continues after its caller disconnects.
     pub is_claimed: bool,
 }
 
-/// A run that the owner node makes.
+/// A run that the owner node is to start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunPlan {
-    /// Where the target listens.
+    /// Address on which the target listens.
     pub address: SocketAddr,
-    /// Its name.
+    /// Name of the target.
     pub target: ids::TargetName,
-    /// Longest time to the first byte of the answer.
+    /// Timeout for the first byte of the response.
     pub first_byte: Duration,
-    /// When the call must be over.
+    /// Deadline of the call.
     pub deadline: time::MonotonicTime,
-    /// Load of the target as it goes with the answer.
+    /// Load of the target, reported to the ingress node with the response.
     pub load: wire::LoadReport,
 }
 
-/// Effects of calls; each is for the task that carries the call.
+/// Effects on calls; each is addressed to the task that carries the call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallEffect {
-    /// Ingress: make a try.
+    /// Ingress node: make an attempt.
     Attempt(ids::CallId, AttemptPlan),
-    /// Ingress: pass the answer on that has begun.
+    /// Ingress node: forward the response whose head arrived to the caller.
     ForwardAnswer(ids::CallId),
-    /// Ingress: give the answer of an earlier send.
+    /// Ingress node: answer with the stored response to an earlier send of the same request.
     Replay(ids::CallId, wire_ledger::KeptAnswer),
-    /// Ingress or owner: refuse.
+    /// Ingress or owner node: refuse the call.
     Refuse(ids::CallId, wire::CallRefusal),
-    /// Owner: run it.
+    /// Owner node: run the call.
     Run(ids::CallId, RunPlan),
 }
 
 /// A call at its ingress node.
 #[derive(Debug, Clone)]
 pub struct IngressCall {
-    /// What its request and route say of it.
-    pub attributes: terms::CallTerms,
-    /// Target of the latest try, once there was one.
+    /// Attributes that the call has from its request and route.
+    pub attributes: attributes::CallAttributes,
+    /// Target of the latest attempt; absent before the first.
     pub target: Option<ids::TargetName>,
-    /// When it must be over.
+    /// Deadline of the call.
     pub deadline: time::MonotonicTime,
-    /// Targets that were tried.
+    /// Targets of all attempts so far, in order.
     pub tried: Vec<ids::TargetName>,
-    /// Times that the route lets it be tried.
-    pub most_tries: u32,
-    /// Whether targets of other data centres may take it.
+    /// Maximum number of attempts that the route allows.
+    pub max_tries: u32,
+    /// Whether targets in other data centres may be chosen.
     pub spill: bool,
-    /// The largest number of a try along its way to this node.
+    /// Highest attempt number on the call's path to this node.
     pub arrived_attempt: u32,
-    /// Tries that ended at another node before the target was offered the call, and that cost
-    /// neither one of the route's tries nor budget.
+    /// Attempts that another node turned away before its target was offered the call, and that
+    /// count neither against the route's tries nor against the retry budget.
     pub placements: u32,
-    /// When an answer is no longer within the route's target latency.
-    pub latency_until: time::MonotonicTime,
-    /// Whether a try that failed may have run it.
+    /// Time after which a response exceeds the route's target latency.
+    pub latency_deadline: time::MonotonicTime,
+    /// Whether a failed attempt may have run the call.
     pub may_have_run: bool,
-    /// Whether its try is counted at its target.
+    /// Whether the current attempt is counted in the target's outstanding calls.
     pub is_outstanding: bool,
-    /// When its latest try began.
-    pub tried_at: time::MonotonicTime,
-    /// Which part of its service's targets its next try may go to.
+    /// Start of the latest attempt.
+    pub attempted_at: time::MonotonicTime,
+    /// Group of the service's targets from which the next attempt may choose during a roll-out.
     pub cohort: cohort::CallCohort,
 }
 
@@ -207,40 +208,40 @@
 pub struct OwnerCall {
     /// The offer.
     pub offer: wire::CallOffer,
-    /// Life of its target that it was admitted to.
-    pub life: ids::IncarnationNumber,
-    /// When it must be over.
+    /// Incarnation of the target when the call was admitted.
+    pub incarnation: ids::IncarnationNumber,
+    /// Deadline of the call.
     pub deadline: time::MonotonicTime,
-    /// When it got a slot; absent while it waits.
+    /// When the call got a slot; absent while it is queued.
     pub started: Option<time::MonotonicTime>,
 }
 
-/// Calls on their way through this process.
+/// Calls in progress in this process.
 #[derive(Debug, Clone, Default)]
 pub struct CallState {
-    /// As ingress node.
+    /// Calls for which this process is the ingress node.
     pub ingress: IndexMap<ids::CallId, IngressCall>,
-    /// As owner node.
+    /// Calls for which this process is the owner node.
     pub owner: IndexMap<ids::CallId, OwnerCall>,
-    /// How long callers usually wait.
-    pub usual: usual::UsualTimes,
-    /// Which calls are refused without an offer.
+    /// Typical caller timeout of each route.
+    pub caller_timeouts: caller_timeout::TimeoutTable,
+    /// Throttles that refuse calls at the ingress node without an offer.
     pub throttles: throttle::ThrottleTable,
 }
 
-/// Takes the passing of time.
+/// Refuses queued calls that waited too long and starts queued calls on free slots.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     owner::tick(state, output);
 }
 
-/// Takes an event of a call.
+/// Handles an event that concerns a call.
 pub fn handle_event(
     state: &mut reducer::EngineState,
     event: CallEvent,
     output: &mut event::ReducerOutput,
 ) {
     match event {
-        CallEvent::Arrived(arrival) => ingress::arrive(state, arrival, output),
+        CallEvent::Arrived(arrival) => ingress::accept(state, arrival, output),
         CallEvent::AttemptEnded {
             call,
             result,
@@ -251,12 +252,12 @@
             ledger::end_call(state, call, output);
             ingress::finish(state, call);
         }
-        CallEvent::Offered { call, offer } => owner::take_offer(state, call, offer, output),
+        CallEvent::Offered { call, offer } => owner::handle_offer(state, call, offer, output),
         CallEvent::RunEnded { call, result } => owner::end_run(state, call, result, output),
     }
 }
 
-/// Refuses a call that was not run, and that no other target can take either.
+/// Refuses a call that was not run and that no other target could take either.
 fn refuse(call: ids::CallId, code: code::ResultCode, output: &mut event::ReducerOutput) {
     output.refuse(call, wire::CallRefusal::not_run(code));
 }
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -1,4 +1,4 @@
-//! A call at its ingress node: its route, its tries and how each of them ended.
+//! Calls at their ingress node: matches the route, makes attempts and evaluates their results.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,31 +6,32 @@
 use hazeltiller_wire::calls as wire;
 use rand::RngExt;
 
-use super::terms;
+use super::attributes;
 use crate::{calls, event, health, ledger, quarantine, reducer, retry, rollout, routing, settings};
 
-/// Shares of the time after which there is room between which callers come back.
-const EARLIEST_RETURN: f64 = 0.75;
-const LATEST_RETURN: f64 = 1.5;
+/// Bounds of the random factor that is applied to a retry delay.
+const MIN_RETRY_JITTER: f64 = 0.75;
+const MAX_RETRY_JITTER: f64 = 1.5;
 
-/// Time after which a caller may come back to a node that holds no catalogue yet: it has just started.
-const CATALOGUE_RETURN: Duration = Duration::from_millis(500);
-/// Time after which a caller may come back where no target is known that may take its call: one that starts
-/// or stops announces itself within about this time.
-const TARGET_RETURN: Duration = Duration::from_secs(1);
+/// Retry delay of a call to a node that holds no catalogue yet because it has just started.
+const CATALOGUE_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Retry delay of a call for which no target is known: targets that start or stop announce
+/// themselves within about this time.
+const TARGET_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Takes a caller's request and makes its first try.
-pub fn arrive(
+/// Accepts a caller's request and makes the first attempt, after claiming the call if required.
+pub fn accept(
     state: &mut reducer::EngineState,
     arrival: calls::CallArrival,
     output: &mut event::ReducerOutput,
 ) {
-    let record = match admit_arrival(state, &arrival) {
+    let record = match resolve_route(state, &arrival) {
         Ok(record) => record,
         Err(code) => {
             let mut refusal = ledger::early_refusal(&arrival, code);
             if code == code::ResultCode::CatalogueMissing {
-                refusal.retry_after_ms = spread(state, CATALOGUE_RETURN.as_millis() as u32);
+                refusal.retry_after_ms =
+                    add_jitter(state, CATALOGUE_RETRY_DELAY.as_millis() as u32);
             }
             return output.refuse(arrival.call, refusal);
         }
@@ -44,8 +45,8 @@
     }
 }
 
-/// What is kept of a request that may be tried, or why it may not.
-fn admit_arrival(
+/// Returns the record of a request that may be attempted, or the code that refuses it.
+fn resolve_route(
     state: &mut reducer::EngineState,
     arrival: &calls::CallArrival,
 ) -> Result<calls::IngressCall, code::ResultCode> {
@@ -63,59 +64,64 @@
     let route = routes.find(&catalogue, host, &arrival.path, &arrival.method);
     let route = route.ok_or(code::ResultCode::RouteNotFound)?;
     let service = state.routing.splits.choose(route, &mut state.random);
-    let told = arrival.deadline_left;
-    let spent = told.map_or(Duration::ZERO, |left| {
-        state.calls.usual.spent(&route.name, left)
+    let deadline_left = arrival.deadline_left;
+    let elapsed = deadline_left.map_or(Duration::ZERO, |left| {
+        state
+            .calls
+            .caller_timeouts
+            .record_arrival(&route.name, left)
     });
-    let times = terms::CallTimes::new(route, told, spent, state.now);
+    let times = attributes::CallDeadlines::new(route, deadline_left, elapsed, state.now);
     let cohort = rollout::draw_cohort(state, &service);
     Ok(calls::IngressCall {
-        attributes: terms::CallTerms::new(&catalogue, route, service, arrival),
+        attributes: attributes::CallAttributes::new(&catalogue, route, service, arrival),
         target: None,
         deadline: times.deadline,
-        latency_until: times.latency_until,
+        latency_deadline: times.latency_deadline,
         placements: 0,
         tried: Vec::new(),
-        most_tries: route.limits.tries,
+        max_tries: route.limits.tries,
         spill: route.spill,
         arrived_attempt: arrival.attempt.max(1),
         may_have_run: false,
         is_outstanding: false,
-        tried_at: state.now,
+        attempted_at: state.now,
         cohort,
     })
 }
 
-/// Makes the first try of a call.
+/// Makes the first attempt of a call.
 pub fn begin(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     output: &mut event::ReducerOutput,
 ) {
-    if is_throttled(state, call) {
+    if draw_throttled(state, call) {
         return refuse_throttled(state, call, output);
     }
     if !attempt(state, call, false, output) {
         let refusal = wire::CallRefusal::not_run(code::ResultCode::TargetMissing);
-        refuse_missing(state, call, refusal, output);
+        refuse_no_target(state, call, refusal, output);
     }
 }
 
-/// Whether a call is refused without an offer, since most of the latest ones found no room.
-fn is_throttled(state: &mut reducer::EngineState, call: ids::CallId) -> bool {
+/// Decides at random, by the share to refuse, whether a call is refused without an offer because
+/// targets lacked capacity for most of the recent ones.
+fn draw_throttled(state: &mut reducer::EngineState, call: ids::CallId) -> bool {
     let Some(record) = state.calls.ingress.get(&call) else {
         return false;
     };
     let (service, route) = (&record.attributes.service, &record.attributes.route);
     let throttles = &mut state.calls.throttles;
     let share = throttles.refused_share(service, route, state.now);
-    let is_overdue = record.latency_until <= state.now;
-    // Those that come back too late say nothing of how many could be served in time.
+    let is_overdue = record.latency_deadline <= state.now;
+    // A call past its target latency is not recorded: it does not indicate how many calls could
+    // be served in time.
     if is_overdue && share > 0.0 {
         return true;
     }
     let is_refused = state.random.random_bool(share);
-    throttles.note(service, route, !is_refused);
+    throttles.record_arrival(service, route, !is_refused);
     is_refused
 }
 
@@ -129,13 +135,13 @@
     };
     let (service, route) = (&record.attributes.service, &record.attributes.route);
     let mut refusal = state.calls.throttles.refusal(service, route);
-    refusal.retry_after_ms = spread(state, refusal.retry_after_ms);
+    refusal.retry_after_ms = add_jitter(state, refusal.retry_after_ms);
     output.refuse(call, refusal);
 }
 
-/// Refuses a call that no target could be offered, saying when one may be there: when the first of those
-/// that could not be reached is tried again.
-fn refuse_missing(
+/// Refuses a call for which no target is available. The retry delay ends when the first of the
+/// service's unreachable targets is tried again.
+fn refuse_no_target(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     refusal: wire::CallRefusal,
@@ -146,9 +152,9 @@
         .ingress
         .get(&call)
         .map(|record| &record.attributes.service);
-    let tried_in = service.and_then(|service| health::unreached_for(state, service));
-    let room_in = tried_in.unwrap_or(TARGET_RETURN).as_millis() as u32;
-    let retry_after_ms = spread(state, room_in.max(1));
+    let reachable_in = service.and_then(|service| health::unreached_for(state, service));
+    let retry_delay = reachable_in.unwrap_or(TARGET_RETRY_DELAY).as_millis() as u32;
+    let retry_after_ms = add_jitter(state, retry_delay.max(1));
     let refusal = wire::CallRefusal {
         retry_after_ms,
         ..refusal
@@ -156,7 +162,7 @@
     output.refuse(call, refusal);
 }
 
-/// Offers a call to a target that was not tried; false when there is none.
+/// Offers a call to a target that was not tried yet; returns false if there is none.
 fn attempt(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -185,27 +191,30 @@
             None => return false,
         }
     };
-    // A new version on trial gets one try of a call at most.
+    // At most one attempt of a call goes to a new version on trial.
     let cohort = request.cohort.after_try();
     let now = state.now;
-    let most_placements = state.settings.tunables.retry.free_placements as u32;
+    let max_placements = state.settings.tunables.retry.free_placements as u32;
     if let Some(view) = state.routing.views.get_mut(&candidate.target) {
         view.outstanding += 1;
     }
     let record = state.calls.ingress.get_mut(&call);
     let record = record.expect("it was just found");
-    let tries = record.tried.len() as u32;
+    let earlier_attempts = record.tried.len() as u32;
     record.is_outstanding = true;
     record.cohort = cohort;
-    record.tried_at = now;
+    record.attempted_at = now;
     record.tried.push(candidate.target.clone());
     record.target = Some(candidate.target.clone());
-    let has_places_left = record.placements < most_placements;
-    let times = terms::TryTimes {
-        attempt: record.arrived_attempt + tries,
+    let has_placements_left = record.placements < max_placements;
+    let times = attributes::AttemptTimes {
+        attempt: record.arrived_attempt + earlier_attempts,
         deadline_left: record.deadline.since(now),
-        latency_left: reachable(record.latency_until.since(now), candidate.shortest_run),
-        patience: candidate.patience.filter(|_| has_places_left),
+        latency_left: attainable_latency(
+            record.latency_deadline.since(now),
+            candidate.shortest_run,
+        ),
+        max_queue_wait: candidate.patience.filter(|_| has_placements_left),
     };
     let offer = record.attributes.offer(candidate.target.clone(), times);
     let is_claimed = record.attributes.is_claimed();
@@ -219,9 +228,9 @@
     true
 }
 
-/// What is left of the target latency, or nothing where not even the fastest of the targets compared
-/// answers within it.
-fn reachable(left: Duration, shortest_run: Option<Duration>) -> Duration {
+/// Returns the time left of the target latency, or zero if not even the fastest of the compared
+/// targets can respond within it.
+fn attainable_latency(left: Duration, shortest_run: Option<Duration>) -> Duration {
     if shortest_run.is_some_and(|run| run > left) {
         Duration::ZERO
     } else {
@@ -229,7 +238,7 @@
     }
 }
 
-/// Takes how a try ended: passes the answer on, refuses, or tries again.
+/// Evaluates the result of an attempt: forwards the response, retries or refuses the call.
 pub fn end_attempt(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -240,53 +249,54 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return;
     };
-    let (terms, target) = (record.attributes.clone(), record.target.clone());
+    let (attributes, target) = (record.attributes.clone(), record.target.clone());
     let is_own = target
         .as_ref()
         .is_some_and(|target| state.membership.targets.contains_key(target));
-    if !is_own && is_given_back(&result) {
-        let took = state.now.since(record.tried_at);
-        state.routing.offer_cost.note(took);
+    if !is_own && is_latency_refusal(&result) {
+        let elapsed = state.now.since(record.attempted_at);
+        state.routing.offer_cost.note(elapsed);
     }
     if let Some(target) = target {
-        learn(state, &terms, &target, &result, report.load);
+        update_view(state, &attributes, &target, &result, report.load);
     }
     if report.bytes > 0 {
-        state.routing.sizes.note(&terms.route, report.bytes);
+        state.routing.sizes.note(&attributes.route, report.bytes);
     }
     let Some(proof) = retry::FailureProof::of(&result) else {
-        earn(state, &terms, &result);
-        return pass(call, output);
+        earn_budgets(state, &attributes, &result);
+        return forward_answer(call, output);
     };
-    put_back(state, call);
-    if try_again(state, call, proof, is_over_rate(&result), output) {
+    release_outstanding(state, call);
+    if retry_elsewhere(state, call, proof, is_rate_refusal(&result), output) {
         return;
     }
     if let calls::AttemptResult::Answered { .. } = result {
-        return pass(call, output);
+        return forward_answer(call, output);
     }
     let may_have_run = state.calls.ingress[&call].may_have_run;
     let mut refusal = retry::final_refusal(result, may_have_run);
     if refusal.code == code::ResultCode::TargetMissing {
-        return refuse_missing(state, call, refusal, output);
+        return refuse_no_target(state, call, refusal, output);
     }
-    let is_over_rate = refusal.code == code::ResultCode::RateExceeded;
-    if proof == retry::FailureProof::NotOffered && !is_over_rate {
+    let is_rate_refusal = refusal.code == code::ResultCode::RateExceeded;
+    if proof == retry::FailureProof::NotOffered && !is_rate_refusal {
         let throttles = &mut state.calls.throttles;
-        throttles.note_no_room(&terms.service, &terms.route, &refusal);
+        throttles.record_no_capacity(&attributes.service, &attributes.route, &refusal);
     }
-    refusal.retry_after_ms = spread(state, refusal.retry_after_ms);
+    refusal.retry_after_ms = add_jitter(state, refusal.retry_after_ms);
     output.refuse(call, refusal);
 }
 
-/// Draws the time after which a caller may come back around the one that was found, so that those
-/// refused together do not return together.
-fn spread(state: &mut reducer::EngineState, retry_after_ms: u32) -> u32 {
-    let share = state.random.random_range(EARLIEST_RETURN..LATEST_RETURN);
-    (f64::from(retry_after_ms) * share).ceil() as u32
+/// Applies random jitter to a retry delay, so that callers refused together do not retry together.
+fn add_jitter(state: &mut reducer::EngineState, retry_after_ms: u32) -> u32 {
+    let factor = state
+        .random
+        .random_range(MIN_RETRY_JITTER..MAX_RETRY_JITTER);
+    (f64::from(retry_after_ms) * factor).ceil() as u32
 }
 
-fn try_again(
+fn retry_elsewhere(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     proof: retry::FailureProof,
@@ -304,7 +314,7 @@
         proof,
         is_idempotent: record.attributes.is_idempotent,
         tries: (record.tried.len() as u32).saturating_sub(record.placements),
-        most_tries: record.most_tries,
+        max_tries: record.max_tries,
         is_placement: u64::from(record.placements) < proof.placements(tunables),
         arrived_attempt: record.arrived_attempt,
         left: record.deadline.since(now),
@@ -312,76 +322,80 @@
             view.run_time(&record.attributes.route)
         }),
     };
-    let terms = record.attributes.clone();
+    let attributes = record.attributes.clone();
     if !question.is_allowed() {
         return false;
     }
-    let is_search = question.is_placement && proof == retry::FailureProof::NotOffered;
-    if is_search && !state.retry.placements(&terms, tunables).spend() {
+    let spends_placement = question.is_placement && proof == retry::FailureProof::NotOffered;
+    if spends_placement && !state.retry.placements(&attributes, tunables).spend() {
         return false;
     }
-    let is_paid = proof.is_paid() && !question.is_placement;
-    if is_paid && !state.retry.budget(&terms, tunables).spend() {
+    let spends_retry = proof.is_paid() && !question.is_placement;
+    if spends_retry && !state.retry.budget(&attributes, tunables).spend() {
         return false;
     }
     record.placements += u32::from(question.is_placement);
     record.may_have_run |= proof == retry::FailureProof::MayHaveRun;
     let is_tried = attempt(state, call, prefers_away, output);
-    if !is_tried && is_paid {
+    if !is_tried && spends_retry {
         let tunables = &state.settings.tunables.retry;
-        state.retry.budget(&terms, tunables).give_back();
+        state.retry.budget(&attributes, tunables).give_back();
     }
     is_tried
 }
 
-/// Takes what the end of a try says of the target.
-fn learn(
+/// Updates the ingress node's view of a target from the result of an attempt.
+fn update_view(
     state: &mut reducer::EngineState,
-    terms: &terms::CallTerms,
+    attributes: &attributes::CallAttributes,
     target: &ids::TargetName,
     result: &calls::AttemptResult,
     load: Option<wire::LoadReport>,
 ) {
     let now = state.now;
     let tunables = &state.settings.tunables.health;
-    let first = settings::millis(tunables.ejection_ms);
+    let first_ejection = settings::millis(tunables.ejection_ms);
     let load = match result {
         calls::AttemptResult::Refused(refusal) => refusal.load.or(load),
         _ => load,
     };
     if let Some(load) = load {
         let routing = &mut state.routing;
-        routing.take_report(&terms.service, &terms.route, target, load, now);
+        routing.take_report(&attributes.service, &attributes.route, target, load, now);
     }
     let Some(view) = state.routing.views.get_mut(target) else {
         return;
     };
     let is_failing = load.is_some_and(|load| load.is_failing);
     match result {
-        _ if is_failing => view.health.eject(now, first),
-        calls::AttemptResult::NotReached => view.health.note_unreached(now, first),
-        calls::AttemptResult::Lost => view.health.note_failure(now, first, tunables),
+        _ if is_failing => view.health.eject(now, first_ejection),
+        calls::AttemptResult::NotReached => view.health.note_unreached(now, first_ejection),
+        calls::AttemptResult::Lost => view.health.note_failure(now, first_ejection, tunables),
         calls::AttemptResult::Refused(refusal) => {
             if refusal.outcome == wire::CallOutcome::Unknown {
-                view.health.note_failure(now, first, tunables);
+                view.health.note_failure(now, first_ejection, tunables);
             } else if retry::is_leaving(refusal) {
-                view.health.eject(now, first);
+                view.health.eject(now, first_ejection);
             }
         }
         calls::AttemptResult::Answered { .. } => view.health.clear(),
     }
 }
 
-fn earn(state: &mut reducer::EngineState, terms: &terms::CallTerms, result: &calls::AttemptResult) {
+fn earn_budgets(
+    state: &mut reducer::EngineState,
+    attributes: &attributes::CallAttributes,
+    result: &calls::AttemptResult,
+) {
     if retry::is_good(result) {
         let tunables = &state.settings.tunables.retry;
-        state.retry.budget(terms, tunables).earn();
-        state.retry.placements(terms, tunables).earn();
+        state.retry.budget(attributes, tunables).earn();
+        state.retry.placements(attributes, tunables).earn();
     }
 }
 
-/// Whether the target's node gave an offer back at once because a wait there would be too long.
-fn is_given_back(result: &calls::AttemptResult) -> bool {
+/// Returns whether the owner node turned an offer away because the queue wait would be too long.
+fn is_latency_refusal(result: &calls::AttemptResult) -> bool {
     match result {
         calls::AttemptResult::Refused(refusal) => {
             refusal.code == code::ResultCode::LatencyUnreachable
@@ -390,16 +404,17 @@
     }
 }
 
-/// Whether the owner is over its rate at this target's node; a node elsewhere may have some left.
-fn is_over_rate(result: &calls::AttemptResult) -> bool {
+/// Returns whether the call's owner exceeded its rate at the target's owner node; another node may
+/// have tokens left.
+fn is_rate_refusal(result: &calls::AttemptResult) -> bool {
     match result {
         calls::AttemptResult::Refused(refusal) => refusal.code == code::ResultCode::RateExceeded,
         _ => false,
     }
 }
 
-/// Counts a call out of its target's outstanding ones.
-fn put_back(state: &mut reducer::EngineState, call: ids::CallId) {
+/// Removes a call from the outstanding calls of its target.
+fn release_outstanding(state: &mut reducer::EngineState, call: ids::CallId) {
     let Some(record) = state.calls.ingress.get_mut(&call) else {
         return;
     };
@@ -411,13 +426,13 @@
     }
 }
 
-fn pass(call: ids::CallId, output: &mut event::ReducerOutput) {
+fn forward_answer(call: ids::CallId, output: &mut event::ReducerOutput) {
     let effect = calls::CallEffect::ForwardAnswer(call);
     output.effects.push(event::Effect::Calls(effect));
 }
 
-/// Forgets a call that the ingress node is done with.
+/// Drops the record of a call that the ingress node has finished.
 pub fn finish(state: &mut reducer::EngineState, call: ids::CallId) {
-    put_back(state, call);
+    release_outstanding(state, call);
     state.calls.ingress.swap_remove(&call);
 }
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -1,4 +1,4 @@
-//! An offered call at the owner node of its target: admitted, run, ended.
+//! Offered calls at the owner node of their target: admits, runs and completes them.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::{admission, calls, event, health, membership, quarantine, reducer, rollout};
 
-/// Takes the passing of time: calls that waited too long are refused, and free slots given out.
+/// Refuses queued calls that waited too long and starts queued calls on free slots.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     for call in admission::expire(state) {
         if let Some(record) = state.calls.owner.swap_remove(&call) {
@@ -17,12 +17,12 @@
     }
     let targets: Vec<ids::TargetName> = state.admission.targets.keys().cloned().collect();
     for target in targets {
-        run_next(state, &target, output);
+        start_queued(state, &target, output);
     }
 }
 
-/// Takes an offered call: it runs, waits or is refused.
-pub fn take_offer(
+/// Handles an offered call: starts its run, queues it or refuses it.
+pub fn handle_offer(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     offer: wire::CallOffer,
@@ -40,14 +40,14 @@
         return output.refuse(call, refusal);
     }
     let record = calls::OwnerCall {
-        life: life_of(state, &offer.target),
+        incarnation: incarnation_of(state, &offer.target),
         offer,
         deadline,
         started: None,
     };
     state.calls.owner.insert(call, record);
     match answer {
-        admission::AdmissionAnswer::Run => run(state, call, output),
+        admission::AdmissionAnswer::Run => start_run(state, call, output),
         admission::AdmissionAnswer::Wait { displaced } => {
             if let Some(displaced) = displaced {
                 refuse_displaced(state, displaced, output);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Gives back the calls that wait for a target that takes no more: they did not run.
+/// Refuses the queued calls of a target that accepts no more calls; they did not run.
 pub fn evict(
     state: &mut reducer::EngineState,
     target: &ids::TargetName,
@@ -70,8 +70,8 @@
     }
 }
 
-/// Forgets what belongs to a life of a target that is over: what waits is given back, and what runs
-/// holds no slot of the next life.
+/// Discards the state of a target's incarnation that has ended: refuses its queued calls and resets
+/// its slots, so that calls still running hold no slot of the next incarnation.
 pub fn end_incarnation(
     state: &mut reducer::EngineState,
     target: &ids::TargetName,
@@ -82,8 +82,11 @@
     health::end_life(state, target);
 }
 
-/// The life that an own target is in.
-fn life_of(state: &reducer::EngineState, target: &ids::TargetName) -> ids::IncarnationNumber {
+/// Returns the current incarnation of a target that this node owns.
+fn incarnation_of(
+    state: &reducer::EngineState,
+    target: &ids::TargetName,
+) -> ids::IncarnationNumber {
     let own = state.membership.targets.get(target);
     own.map_or_else(Default::default, |own| own.record.incarnation)
 }
@@ -99,18 +102,22 @@
     }
 }
 
-/// Starts waiting calls while slots are free.
-fn run_next(
+/// Starts queued calls while slots are free.
+fn start_queued(
     state: &mut reducer::EngineState,
     target: &ids::TargetName,
     output: &mut event::ReducerOutput,
 ) {
     while let Some(next) = admission::next(state, target) {
-        run(state, next, output);
+        start_run(state, next, output);
     }
 }
 
-fn run(state: &mut reducer::EngineState, call: ids::CallId, output: &mut event::ReducerOutput) {
+fn start_run(
+    state: &mut reducer::EngineState,
+    call: ids::CallId,
+    output: &mut event::ReducerOutput,
+) {
     let now = state.now;
     let Some(record) = state.calls.owner.get_mut(&call) else {
         return;
@@ -134,7 +141,7 @@
         .push(event::Effect::Calls(calls::CallEffect::Run(call, plan)));
 }
 
-/// Takes how a run ended and gives its slot to the next.
+/// Handles the end of a run and gives its slot to the next queued call.
 pub fn end_run(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -149,19 +156,19 @@
     let Some(started) = record.started else {
         return admission::forget(state, &offer.target, call);
     };
-    let is_of_this_life = record.life == life_of(state, &offer.target);
+    let is_same_incarnation = record.incarnation == incarnation_of(state, &offer.target);
     let is_known = state.membership.targets.contains_key(&offer.target);
-    if is_known && !is_of_this_life {
+    if is_known && !is_same_incarnation {
         return;
     }
     let is_late = record.deadline <= state.now;
     health::end_run(state, &offer.target, result, is_late);
     if result == calls::RunResult::WrongTarget {
-        let gone = membership::MembershipEvent::Misplaced(offer.target.clone());
-        output.follow(event::Event::Membership(gone));
+        let misplaced = membership::MembershipEvent::Misplaced(offer.target.clone());
+        output.follow(event::Event::Membership(misplaced));
     }
-    let took = state.now.since(started);
-    rollout::note_run(state, offer, took, result);
-    admission::end_run(state, offer, took, result);
-    run_next(state, &offer.target, output);
+    let elapsed = state.now.since(started);
+    rollout::note_run(state, offer, elapsed, result);
+    admission::end_run(state, offer, elapsed, result);
+    start_queued(state, &offer.target, output);
 }
--- a/crates/engine/src/calls/transit.rs
+++ b/crates/engine/src/calls/transit.rs
@@ -1,16 +1,18 @@
-//! How long an offer was on its way.
+//! Measurement of the queueing delay of offers on the link between two nodes.
 //!
-//! An offer says how much time its call has left when it is sent. On a link with more to carry than it
-//! can, it may wait for longer than that, and so does the word that its caller has left, which follows it
-//! on the same connection: without a look at the way, the target would run calls that nobody waits for.
+//! An offer states the time its call has left when the offer is sent. On a congested link the offer
+//! can be delayed for longer than that. The cancellation that is sent when the caller disconnects
+//! follows on the same connection and is delayed as well. Without a measurement of the delay, a
+//! target would run calls that nobody waits for any more.
 //!
-//! The clocks of two nodes cannot be compared, and those of the day jump. But their boot clocks run
-//! alike, also while a node is suspended: of the offers of one peer, the one that was on its way
-//! for the shortest time shows by how much they differ, and the others were late by what they show
-//! beyond that. The shortest counts for a minute at least, over connections, so that a link that is
-//! choked for seconds or opened while it is choked does not pass for a slow one; not for longer, for clocks
-//! drift. A clock that did stand still makes offers seem late by more than any link holds them back;
-//! then the shortest is found anew.
+//! The clocks of two nodes have an unknown offset, and wall clocks jump. Boot clocks run at the
+//! same rate, even while a node is suspended. The smallest difference between receive and send time
+//! among the offers of one peer is therefore the baseline, and every other offer was delayed by its
+//! excess over the baseline. The baseline is shared by the connections of a peer and holds for at
+//! least a minute, so that a link that is congested for seconds, or opened while congested, is not
+//! taken for one with a long propagation delay. It expires after that, since clocks drift. If a
+//! clock did stall, offers seem delayed by more than any link can delay them, and the baseline is
+//! measured anew.
 
 use std::{
     sync::{Arc, Mutex},
@@ -20,77 +22,90 @@
 use hazeltiller_units::ids;
 use indexmap::IndexMap;
 
-/// Time for which the shortest way counts at least, and at most twice: clocks that drift apart by 100
-/// parts in a million, as much as quartz does, differ by 12 ms after it.
-const WINDOW: Duration = Duration::from_secs(60);
-/// Longest time that an offer is on its way: a link that gives no sign of life for 1.8 s is given up.
-const LONGEST_WAY: Duration = Duration::from_secs(2);
-/// Time for which all offers seem later than that before a clock is taken to have stood still.
-const STOPPED_TIME: Duration = Duration::from_secs(2);
+/// Minimum time for which a baseline holds; it holds for at most twice this. Clocks with a relative
+/// drift of 100 ppm, the most that quartz shows, differ by 12 ms after twice this time.
+const BASELINE_WINDOW: Duration = Duration::from_secs(60);
+/// Longest delay that a link can cause: a link that receives nothing for 1.8 s is closed.
+const MAX_LINK_DELAY: Duration = Duration::from_secs(2);
+/// Time for which all offers must exceed that delay before a clock is assumed to have stalled.
+const CLOCK_STALL_TIME: Duration = Duration::from_secs(2);
 
-/// What the offers of one peer show of their way.
+/// Meter of the delay of offers from one peer.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TransitMeter {
-    /// Least difference of the clocks in this window and in the one before, in microseconds.
-    least: Option<i64>,
-    least_before: Option<i64>,
-    window_began: Duration,
-    /// Since when all offers seem later than any link holds them back, and the least difference of theirs.
-    beyond: Option<(Duration, i64)>,
+    /// Smallest difference of receive and send time in the current window, in microseconds.
+    min_offset_us: Option<i64>,
+    /// Smallest difference in the previous window, in microseconds.
+    previous_min_offset_us: Option<i64>,
+    window_start: Duration,
+    /// When all offers began to exceed the longest delay of a link, and the smallest difference
+    /// among them, in microseconds.
+    outliers: Option<(Duration, i64)>,
 }
 
 impl TransitMeter {
-    /// Takes an offer by the sender's boot clock as it was sent and by the receiver's as it came;
-    /// returns how much longer it was on its way than the fastest one.
-    pub fn record(&mut self, sent: Duration, came: Duration) -> Duration {
-        let difference = came.as_micros() as i64 - sent.as_micros() as i64;
-        let least = [self.least, self.least_before].into_iter().flatten().min();
-        let late = least.map_or(0, |least| (difference - least).max(0));
-        let late = Duration::from_micros(late.unsigned_abs());
-        if late > LONGEST_WAY {
-            self.note_beyond(difference, came);
-            return late;
+    /// Records an offer that was sent at `sent` by the sender's boot clock and received at
+    /// `received` by the receiver's; returns its delay beyond the baseline.
+    pub fn record(&mut self, sent: Duration, received: Duration) -> Duration {
+        let offset_us = received.as_micros() as i64 - sent.as_micros() as i64;
+        let baseline_us = [self.min_offset_us, self.previous_min_offset_us]
+            .into_iter()
+            .flatten()
+            .min();
+        let delay = baseline_us.map_or(0, |baseline_us| (offset_us - baseline_us).max(0));
+        let delay = Duration::from_micros(delay.unsigned_abs());
+        if delay > MAX_LINK_DELAY {
+            self.record_outlier(offset_us, received);
+            return delay;
         }
-        self.beyond = None;
-        if came.saturating_sub(self.window_began) >= WINDOW {
-            self.least_before = self.least.take();
-            self.window_began = came;
+        self.outliers = None;
+        if received.saturating_sub(self.window_start) >= BASELINE_WINDOW {
+            self.previous_min_offset_us = self.min_offset_us.take();
+            self.window_start = received;
         }
-        self.least = Some(self.least.map_or(difference, |least| least.min(difference)));
-        late
+        self.min_offset_us = Some(
+            self.min_offset_us
+                .map_or(offset_us, |baseline_us| baseline_us.min(offset_us)),
+        );
+        delay
     }
 
-    fn note_beyond(&mut self, difference: i64, came: Duration) {
-        let (since, least) = self.beyond.unwrap_or((came, difference));
-        let least = least.min(difference);
-        self.beyond = Some((since, least));
-        if came.saturating_sub(since) >= STOPPED_TIME {
+    fn record_outlier(&mut self, offset_us: i64, received: Duration) {
+        let (since, baseline_us) = self.outliers.unwrap_or((received, offset_us));
+        let baseline_us = baseline_us.min(offset_us);
+        self.outliers = Some((since, baseline_us));
+        if received.saturating_sub(since) >= CLOCK_STALL_TIME {
             *self = Self {
-                least: Some(least),
-                window_began: came,
+                min_offset_us: Some(baseline_us),
+                window_start: received,
                 ..Self::default()
             };
         }
     }
 }
 
-/// The meter of one peer, shared by its connections.
+/// Meter of one peer, shared by the peer's connections.
 pub type SharedMeter = Arc<Mutex<TransitMeter>>;
 
-/// The meters of all peers.
+/// Meters of all peers.
 #[derive(Debug, Default)]
 pub struct MeterTable {
-    /// By peer, of the life that it was in; another life may be on a machine that started again.
+    /// Meters by peer, each with the incarnation that it measures: a new incarnation may run on a
+    /// machine that rebooted, whose boot clock started anew.
     meters: Mutex<IndexMap<ids::InstanceName, (ids::IncarnationNumber, SharedMeter)>>,
 }
 
 impl MeterTable {
-    /// The meter of a life of a peer.
-    pub fn of_peer(&self, peer: &ids::InstanceName, life: ids::IncarnationNumber) -> SharedMeter {
+    /// Returns the meter of an incarnation of a peer.
+    pub fn of_peer(
+        &self,
+        peer: &ids::InstanceName,
+        incarnation: ids::IncarnationNumber,
+    ) -> SharedMeter {
         let mut meters = self.meters.lock().expect("no holder of the lock panics");
-        let (known, meter) = meters.entry(peer.clone()).or_default();
-        if *known != life {
-            *known = life;
+        let (known_incarnation, meter) = meters.entry(peer.clone()).or_default();
+        if *known_incarnation != incarnation {
+            *known_incarnation = incarnation;
             *meter = SharedMeter::default();
         }
         Arc::clone(meter)
--- a/crates/engine/src/retry.rs
+++ b/crates/engine/src/retry.rs
@@ -118,7 +118,7 @@
     /// The budget of second tries of a call's service and class.
     pub fn budget(
         &mut self,
-        terms: &calls::terms::CallTerms,
+        terms: &calls::attributes::CallAttributes,
         tunables: &settings::RetryTunables,
     ) -> &mut RetryBudget {
         let key = (terms.service.clone(), terms.class.clone());
@@ -130,7 +130,7 @@
     /// The budget of further offers of a call's service and class.
     pub fn placements(
         &mut self,
-        terms: &calls::terms::CallTerms,
+        terms: &calls::attributes::CallAttributes,
         tunables: &settings::RetryTunables,
     ) -> &mut RetryBudget {
         let key = (terms.service.clone(), terms.class.clone());
@@ -221,7 +221,7 @@
     /// Tries of this ingress node so far.
     pub tries: u32,
     /// Tries that the route allows.
-    pub most_tries: u32,
+    pub max_tries: u32,
     /// Whether this is a search for a place that costs no try.
     pub is_placement: bool,
     /// The largest number of a try along the call's way to this node.
@@ -241,7 +241,7 @@
             FailureProof::MayHaveRun => self.is_idempotent && self.arrived_attempt <= 1,
         };
         let is_in_time = !self.left.is_zero() && self.left >= self.service_time;
-        let is_left = self.is_placement || self.tries < self.most_tries;
+        let is_left = self.is_placement || self.tries < self.max_tries;
         is_harmless && is_in_time && is_left
     }
 }
--- a/crates/engine/tests/throttle.rs
+++ b/crates/engine/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Calls that are refused where they come in, while no target has room for most of them.
+//! Throttling at the ingress node while targets lack capacity for most calls.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use hazeltiller_wire::calls as wire;
 use serde_json::{Value, json};
 
-/// Time between two calls.
-const PAUSE: Duration = Duration::from_millis(10);
-/// When the targets say that there will be room.
-const ROOM_IN_MS: u32 = 80;
+/// Time between consecutive calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(10);
+/// Retry delay that targets return with their refusals.
+const RETRY_DELAY_MS: u32 = 80;
 
 fn entries() -> Value {
     let route = |name: &str| {
@@ -30,8 +30,8 @@
 
 struct Ingress {
     node: node::NodeReducer,
-    last: u64,
-    /// Why targets give calls back.
+    last_call: u64,
+    /// Code with which targets refuse calls.
     code: code::ResultCode,
 }
 
@@ -46,23 +46,24 @@
         );
         Self {
             node,
-            last: 0,
+            last_call: 0,
             code: code::ResultCode::LatencyUnreachable,
         }
     }
 
-    /// Has a call come; returns the refusal of one that is not offered, whose target has room or not.
-    fn ask(&mut self, path: &str, has_room: bool) -> Option<wire::CallRefusal> {
-        self.last += 1;
-        self.node.now = self.node.now + PAUSE;
-        let call = ids::CallId(self.last);
-        let arrival = node::arrival(self.last, path);
+    /// Sends a call whose target accepts or refuses an offer; returns the refusal if the call is
+    /// throttled without an offer.
+    fn send(&mut self, path: &str, has_capacity: bool) -> Option<wire::CallRefusal> {
+        self.last_call += 1;
+        self.node.now = self.node.now + CALL_INTERVAL;
+        let call = ids::CallId(self.last_call);
+        let arrival = node::arrival(self.last_call, path);
         let effects = self.node.call(calls::CallEvent::Arrived(arrival));
         let is_offered = effects
             .iter()
             .any(|effect| matches!(effect, calls::CallEffect::Attempt(..)));
         if is_offered {
-            self.end(call, has_room);
+            self.end(call, has_capacity);
         }
         self.node.call(calls::CallEvent::Finished(call));
         effects.into_iter().find_map(|effect| match effect {
@@ -71,15 +72,15 @@
         })
     }
 
-    fn end(&mut self, call: ids::CallId, has_room: bool) {
-        let full = wire::CallRefusal {
-            retry_after_ms: ROOM_IN_MS,
+    fn end(&mut self, call: ids::CallId, has_capacity: bool) {
+        let refusal = wire::CallRefusal {
+            retry_after_ms: RETRY_DELAY_MS,
             ..wire::CallRefusal::not_run(self.code).elsewhere()
         };
-        let result = if has_room {
+        let result = if has_capacity {
             calls::AttemptResult::Answered { status: 200 }
         } else {
-            calls::AttemptResult::Refused(full)
+            calls::AttemptResult::Refused(refusal)
         };
         let report = calls::AttemptReport::default();
         self.node.call(calls::CallEvent::AttemptEnded {
@@ -89,63 +90,70 @@
         });
     }
 
-    /// How many of a hundred calls are refused without an offer.
-    fn refused(&mut self, path: &str, has_room: bool) -> usize {
-        let refused = (0..100).filter(|_| self.ask(path, has_room).is_some());
+    /// Sends a hundred calls; returns how many are refused without an offer.
+    fn count_refused(&mut self, path: &str, has_capacity: bool) -> usize {
+        let refused = (0..100).filter(|_| self.send(path, has_capacity).is_some());
         refused.count()
     }
 }
 
+/// Most calls are refused without an offer while no target has capacity.
 #[test]
-fn full_service_not_asked() {
+fn saturated_service_throttled() {
     let mut ingress = Ingress::new();
-    ingress.refused("/lookup/1", false);
-    let refused = ingress.refused("/lookup/1", false);
-    assert!(refused >= 70, "{refused} of 100 without an offer");
-    let refusal = (0..10).find_map(|_| ingress.ask("/lookup/1", false));
-    let refusal = refusal.expect("most of them are refused");
+    ingress.count_refused("/lookup/1", false);
+    let refused = ingress.count_refused("/lookup/1", false);
+    assert!(refused >= 70, "{refused} of 100 refused without an offer");
+    let refusal = (0..10).find_map(|_| ingress.send("/lookup/1", false));
+    let refusal = refusal.expect("most calls are refused");
     assert_eq!(refusal.code, code::ResultCode::ServiceSaturated);
     assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
-    let spread = ROOM_IN_MS / 2..=ROOM_IN_MS * 3 / 2;
-    assert!(spread.contains(&refusal.retry_after_ms), "{refusal:?}");
+    let jitter = RETRY_DELAY_MS / 2..=RETRY_DELAY_MS * 3 / 2;
+    assert!(jitter.contains(&refusal.retry_after_ms), "{refusal:?}");
 }
 
+/// Throttling ends once targets have capacity again.
 #[test]
-fn room_found_again() {
+fn capacity_found_again() {
     let mut ingress = Ingress::new();
-    ingress.refused("/lookup/1", false);
-    let seconds = (0..4).map(|_| ingress.refused("/lookup/1", true));
+    ingress.count_refused("/lookup/1", false);
+    let seconds = (0..4).map(|_| ingress.count_refused("/lookup/1", true));
     let refused: Vec<usize> = seconds.collect();
-    assert!(refused[3] == 0, "{refused:?} in each second");
+    assert!(refused[3] == 0, "refused in each second: {refused:?}");
 }
 
 #[test]
-fn other_route_asked() {
+fn other_route_offered() {
     let mut ingress = Ingress::new();
-    ingress.refused("/lookup/1", false);
-    assert_eq!(ingress.refused("/issue/1", true), 0);
+    ingress.count_refused("/lookup/1", false);
+    assert_eq!(ingress.count_refused("/issue/1", true), 0);
 }
 
 #[test]
-fn few_calls_asked() {
+fn few_calls_offered() {
     let mut ingress = Ingress::new();
     let refused = (0..20).filter(|_| {
         ingress.node.now = ingress.node.now + Duration::from_millis(500);
-        ingress.ask("/lookup/1", false).is_some()
+        ingress.send("/lookup/1", false).is_some()
     });
-    assert_eq!(refused.count(), 0, "two a second tell nothing");
+    assert_eq!(
+        refused.count(),
+        0,
+        "two calls a second are too few to throttle"
+    );
 }
 
-/// A call over its owner's rate says nothing of room, and its caller is told of the rate.
+/// A refusal for the owner's rate does not indicate a lack of capacity: calls over the rate are
+/// still offered, so that their callers get the refusal that names the rate limit.
 #[test]
-fn rate_still_told() {
+fn rate_not_throttled() {
     let mut ingress = Ingress::new();
     ingress.code = code::ResultCode::RateExceeded;
-    let asked = (0..200).filter_map(|_| ingress.ask("/lookup/1", false));
-    assert_eq!(asked.count(), 0, "each call is offered");
+    let refusals = (0..200).filter_map(|_| ingress.send("/lookup/1", false));
+    assert_eq!(refusals.count(), 0, "each call is offered");
 }
 
-/// A busy route is still known after many others were asked for.
+/// The throttle of a busy route remains after many other routes were seen.
 #[test]
 fn busy_route_remembered() {
     let mut table = calls::throttle::ThrottleTable::default();
@@ -157,7 +165,7 @@
     }
     for _ in 0..20 {
         table.refused_share(&service, &busy, now);
-        table.note(&service, &busy, false);
+        table.record_arrival(&service, &busy, false);
     }
     assert!(table.refused_share(&service, &busy, now) > 0.5);
 }
--- a/crates/engine/tests/transit.rs
+++ b/crates/engine/tests/transit.rs
@@ -1,4 +1,4 @@
-//! Time that offers spend on their way.
+//! Measurement of the delay of offers on the link between two nodes.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn late_told() {
+fn delay_measured() {
     let mut meter = transit::TransitMeter::default();
-    // The receiver has run for ten minutes when the sender starts.
+    // The receiver's boot clock is ten minutes ahead of the sender's.
     let start = 600_000;
     assert_eq!(meter.record(millis(5), millis(start + 7)), millis(0));
     assert_eq!(meter.record(millis(100), millis(start + 602)), millis(500));
@@ -25,20 +25,21 @@
     assert_eq!(meter.record(millis(300), millis(start + 351)), millis(50));
 }
 
-/// A sender whose clock stood still for three seconds seems late by them for a few seconds only.
+/// If the sender's clock stalls for three seconds, its offers seem delayed by that much until the
+/// baseline is measured anew a few seconds later.
 #[test]
-fn stopped_clock() {
+fn stalled_clock() {
     let mut meter = transit::TransitMeter::default();
     meter.record(millis(0), millis(1000));
-    let mut late = Vec::new();
+    let mut delays = Vec::new();
     for second in 1..10 {
-        late.push(meter.record(millis(second * 1000), millis(second * 1000 + 4000)));
+        delays.push(meter.record(millis(second * 1000), millis(second * 1000 + 4000)));
     }
-    assert_eq!(late[0], millis(3000));
-    assert_eq!(late[6..], [millis(0); 3]);
+    assert_eq!(delays[0], millis(3000));
+    assert_eq!(delays[6..], [millis(0); 3]);
 }
 
-/// A call whose time was over when its offer came did not run, and the node says so.
+/// An offer whose deadline passed in transit is refused as not run.
 #[test]
 fn overdue_offer_refused() {
     let entries = json!([
@@ -50,20 +51,20 @@
     ]);
     let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries);
     node.announce(node::target(TARGET, "registru", 2));
-    for (spent_ms, runs) in [(200, true), (300, false)] {
+    for (delay_ms, is_run) in [(200, true), (300, false)] {
         let mut offer = wire::CallOffer {
             deadline_left_ms: 250,
             latency_left_ms: 100,
             ..node::offer(TARGET, "registru", "counter")
         };
-        offer.spend(millis(spent_ms));
+        offer.spend(millis(delay_ms));
         assert_eq!(offer.latency_left_ms, 0);
-        let call = ids::CallId(spent_ms);
+        let call = ids::CallId(delay_ms);
         let effects = node.call(calls::CallEvent::Offered { call, offer });
         match &*effects {
-            [calls::CallEffect::Run(..)] => assert!(runs),
+            [calls::CallEffect::Run(..)] => assert!(is_run),
             [calls::CallEffect::Refuse(_, refusal)] => {
-                assert!(!runs);
+                assert!(!is_run);
                 assert_eq!(refusal.code, code::ResultCode::DeadlineExceeded);
                 assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
             }
@@ -72,30 +73,31 @@
     }
 }
 
-/// A link that is choked for longer than a few seconds does not pass for a slow one: its offers are as
-/// late as those that choked it first.
+/// A link that stays congested for several seconds is not taken for one with a long propagation
+/// delay: the measured delay does not shrink.
 #[test]
-fn choked_for_long() {
+fn long_congestion() {
     let mut meter = transit::TransitMeter::default();
     meter.record(millis(0), millis(1000));
-    let late =
+    let delays =
         (1..9).map(|second| meter.record(millis(second * 1000), millis(second * 1000 + 1800)));
-    let late: Vec<Duration> = late.collect();
-    assert_eq!(late, [millis(800); 8]);
+    let delays: Vec<Duration> = delays.collect();
+    assert_eq!(delays, [millis(800); 8]);
 }
 
-/// A connection that opens while the link is choked is measured by what the ones before it showed; one of
-/// another life of the peer, whose machine may have started again, is not.
+/// A connection that opens while the link is congested uses the baseline of the peer's earlier
+/// connections. A new incarnation of the peer starts a new baseline, since its machine may have
+/// rebooted.
 #[test]
-fn opened_while_choked() {
+fn opened_under_congestion() {
     let meters = transit::MeterTable::default();
     let peer: ids::InstanceName = "node-2".parse().expect("it is a name");
-    let note = |life: u64, sent, came| {
-        let meter = meters.of_peer(&peer, ids::IncarnationNumber(life));
-        let mut meter = meter.lock().expect("nobody panics");
-        meter.record(millis(sent), millis(came))
+    let record = |incarnation: u64, sent, received| {
+        let meter = meters.of_peer(&peer, ids::IncarnationNumber(incarnation));
+        let mut meter = meter.lock().expect("no holder of the lock panics");
+        meter.record(millis(sent), millis(received))
     };
-    assert_eq!(note(1, 0, 1000), millis(0));
-    assert_eq!(note(1, 500, 2300), millis(800));
-    assert_eq!(note(2, 600, 2400), millis(0));
+    assert_eq!(record(1, 0, 1000), millis(0));
+    assert_eq!(record(1, 500, 2300), millis(800));
+    assert_eq!(record(2, 600, 2400), millis(0));
 }
