--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -1,9 +1,10 @@
-//! Slots and queues of the targets that this node owns, and owners' rates.
+//! Admission control: slots and queues of the targets that this node owns, and rate limits.
 //!
-//! Every call of a target passes here, whichever node its caller asked, so its slots are counted in
-//! one place. A call runs at once while a slot is free; else it waits, for a short time and in a
-//! short queue, unless it is plain that it could not start or end in time. Each refusal names the
-//! limit that did it and is given at once: none of these calls ran.
+//! Every call to a target passes through the target's owner node, whichever node is its ingress, so
+//! the slots are counted in one place. A call runs immediately if a slot is free. Otherwise it
+//! waits in a short queue for a bounded time, unless it is certain to start or finish too late. A
+//! refusal is returned without delay, names the limit that caused it and guarantees that the call
+//! did not run.
 
 use std::time::Duration;
 
@@ -14,121 +15,124 @@
 
 use crate::{calls, health, membership, reducer, rollout, routing, settings};
 
-pub mod pace;
+pub mod estimate;
+mod latency;
 pub mod queue;
 pub mod rate;
 mod refusal;
 pub mod reserve;
 mod standing;
-mod urgency;
 
-pub use refusal::{refuse_displaced, refuse_waited};
+pub use refusal::{displaced_refusal, expired_refusal};
 
-/// Rank of a class that this node does not know yet: it is served last.
+/// Rank of a class that is not in the catalogue that this node holds: the lowest priority.
 const UNKNOWN_RANK: u32 = 100;
 
-/// What is done with an offered call.
+/// Decision on an offered call.
 #[derive(Debug, Clone, PartialEq)]
-pub enum AdmissionAnswer {
-    /// It runs now.
+pub enum AdmissionDecision {
+    /// The call runs now.
     Run,
-    /// It waits for a slot; a call that waited may have lost its place to it.
+    /// The call waits for a slot.
     Wait {
-        /// That call.
+        /// Queued call that lost its place to this one, if the queue was full.
         displaced: Option<ids::CallId>,
     },
-    /// It is refused; it did not run.
+    /// The call is refused and did not run.
     Refuse(wire::CallRefusal),
 }
 
 /// Slots and queue of one target.
 #[derive(Debug, Clone, Default)]
 pub struct TargetAdmission {
-    /// Calls that run.
+    /// Number of running calls.
     pub running: u32,
-    /// Those of them that are of the class that is served last.
-    pub running_last: u32,
-    /// What the others use.
-    pub urgent: reserve::UrgentUse,
-    /// Calls that wait.
+    /// Number of running calls of the lowest-priority class.
+    pub running_lowest: u32,
+    /// Slot usage by higher-priority classes.
+    pub priority_usage: reserve::PriorityUsage,
+    /// Queued calls.
     pub queue: queue::FairQueue,
-    /// What its runs show.
-    pub pace: pace::TargetPace,
-    /// How long its queue has not been empty.
-    standing: standing::QueueStanding,
+    /// Service time and capacity as estimated from runs.
+    pub estimate: estimate::TargetEstimate,
+    /// Whether the queue is a standing queue.
+    standing: standing::StandingDetector,
 }
 
 impl TargetAdmission {
-    /// Time until a call that comes now gets a slot: until what goes before it has run, on the slots that its
-    /// class gets, and the next one frees. Counts of calls do not tell: one that waits may run ten times as
-    /// long as the mean of all runs, most of which are short.
-    fn wait(
+    /// Returns the expected queue wait of a call that arrives now: the time to run the work ahead
+    /// of it on the slots available to its class, and the time until the next slot is released. The
+    /// work is measured in expected run time rather than in calls, since a queued call may run ten
+    /// times as long as the mean of all runs, most of which are short.
+    fn queue_wait(
         &self,
-        share: &queue::CallShare,
+        params: &queue::SchedulingParams,
         offer: &wire::CallOffer,
-        until: time::MonotonicTime,
-        room: SlotRoom,
+        start_deadline: time::MonotonicTime,
+        available: AvailableSlots,
     ) -> Duration {
-        let ahead = self.queue.work_ahead(share, until) / f64::from(room.of_class);
-        let next = self.pace.time_for(f64::from(offer.cost), room.of_target);
-        Duration::from_secs_f64(ahead) + next
+        let ahead = self.queue.work_ahead(params, start_deadline) / f64::from(available.of_class);
+        let next_slot = self
+            .estimate
+            .time_for(f64::from(offer.cost), available.of_target);
+        Duration::from_secs_f64(ahead) + next_slot
     }
 
-    /// Notes whether anybody waits now.
-    fn watch_queue(&mut self, now: time::MonotonicTime) {
-        self.standing.note(!self.queue.is_empty(), now);
+    /// Updates the standing-queue detector with whether the queue is empty.
+    fn update_standing(&mut self, now: time::MonotonicTime) {
+        self.standing.record(!self.queue.is_empty(), now);
     }
 
-    /// Time until all that waits has run.
+    /// Returns the time until all queued work has run.
     fn time_to_drain(&self, slots: u32) -> Duration {
-        Duration::from_secs_f64(self.queue.work() / f64::from(slots.max(1)))
+        Duration::from_secs_f64(self.queue.queued_work_s() / f64::from(slots.max(1)))
     }
 
-    /// Whether a free slot may go to the class that is served last.
-    fn is_open_to_last(&self, slots: u32, now: time::MonotonicTime) -> bool {
-        let turnover = self.pace.time_for(1.0, slots);
-        let reserved = self.urgent.reserved(slots, turnover, now);
-        self.running_last + reserved < slots
+    /// Returns whether a free slot may be given to the lowest-priority class.
+    fn admits_lowest(&self, slots: u32, now: time::MonotonicTime) -> bool {
+        let release_interval = self.estimate.time_for(1.0, slots);
+        let reserved = self.priority_usage.reserved(slots, release_interval, now);
+        self.running_lowest + reserved < slots
     }
 }
 
-/// Slots that a call may come to.
+/// Slots available to a call.
 #[derive(Debug, Clone, Copy)]
-struct SlotRoom {
-    /// Slots of the target.
+struct AvailableSlots {
+    /// Usable slots of the target.
     of_target: u32,
-    /// Those of them that better classes leave to the call's own on average; at least one.
+    /// Slots that higher-priority classes leave to the call's class on average; at least one.
     of_class: u32,
 }
 
-/// State of admission.
+/// Admission state of the node.
 #[derive(Debug, Clone, Default)]
 pub struct AdmissionState {
-    /// By target.
+    /// Slots and queues by target.
     pub targets: IndexMap<ids::TargetName, TargetAdmission>,
-    /// Rate limits of owners.
+    /// Token buckets of owners.
     pub rates: rate::RateBuckets,
 }
 
-/// Admits a call to an own target.
+/// Decides on a call that is offered to a target of this node.
 pub fn admit(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     offer: &wire::CallOffer,
-) -> AdmissionAnswer {
+) -> AdmissionDecision {
     let own = state.membership.targets.get(&offer.target);
     let is_ready =
         |own: &membership::OwnTarget| own.record.state == wire_membership::TargetState::Ready;
     let is_open = own.is_some_and(|own| is_ready(own) && !rollout::is_rolled_back(state, own));
     if !is_open {
         let missing = wire::CallRefusal::not_run(code::ResultCode::TargetMissing);
-        return AdmissionAnswer::Refuse(missing.elsewhere());
+        return AdmissionDecision::Refuse(missing.elsewhere());
     }
     if let Some(refusal) = check_rate(state, offer) {
-        return AdmissionAnswer::Refuse(refusal);
+        return AdmissionDecision::Refuse(refusal);
     }
-    let answer = take_place(state, call, offer);
-    if !matches!(answer, AdmissionAnswer::Refuse(_)) {
+    let answer = place_call(state, call, offer);
+    if !matches!(answer, AdmissionDecision::Refuse(_)) {
         let key = (offer.owner.clone(), offer.service.clone());
         if let Some(bucket) = state.admission.rates.get_mut(&key) {
             bucket.spend(offer.cost);
@@ -137,8 +141,12 @@
     answer
 }
 
-/// Gives a free slot to a waiting call, if there are both; the call runs.
-pub fn next(state: &mut reducer::EngineState, target: &ids::TargetName) -> Option<ids::CallId> {
+/// Gives a free slot to a queued call and returns the call, which runs now; returns `None` if no
+/// slot is free or no queued call may take it.
+pub fn start_next(
+    state: &mut reducer::EngineState,
+    target: &ids::TargetName,
+) -> Option<ids::CallId> {
     let slots = slots(state, target);
     let now = state.now;
     let service = &state.membership.targets.get(target)?.record.service;
@@ -147,89 +155,97 @@
     if admission.running >= slots {
         return None;
     }
-    let is_open = admission.is_open_to_last(slots, now);
+    let is_open = admission.admits_lowest(slots, now);
     let (queued, rank) = if is_open {
         admission.queue.pop()?
     } else {
-        admission.queue.pop_better(last_rank?)?
+        admission.queue.pop_higher_priority(last_rank?)?
     };
-    admission.watch_queue(now);
+    admission.update_standing(now);
     admission.running += 1;
-    admission.running_last += u32::from(Some(rank) >= last_rank);
+    admission.running_lowest += u32::from(Some(rank) >= last_rank);
     Some(queued.call)
 }
 
-/// Takes a waiting call out of the queue of a target that takes no more.
+/// Removes a call from the queue of a target that accepts no more calls.
 pub fn evict(state: &mut reducer::EngineState, target: &ids::TargetName) -> Option<ids::CallId> {
     let admission = state.admission.targets.get_mut(target)?;
     admission.queue.pop().map(|(queued, _rank)| queued.call)
 }
 
-/// Forgets the slots in use, the queue and the pace of a target that started again.
-pub fn end_life(state: &mut reducer::EngineState, target: &ids::TargetName) {
+/// Discards the slots in use, the queue and the estimates of a target that restarted.
+pub fn end_incarnation(state: &mut reducer::EngineState, target: &ids::TargetName) {
     state.admission.targets.shift_remove(target);
 }
 
-/// Frees the slot of a run that ended and learns from it.
+/// Releases the slot of a run that ended and updates the target's estimates.
 pub fn end_run(
     state: &mut reducer::EngineState,
     offer: &wire::CallOffer,
-    took: Duration,
+    elapsed: Duration,
     result: calls::RunResult,
 ) {
     let announced = announced_slots(state, &offer.target);
-    let is_last = urgency::is_bounded(state, offer);
+    let is_lowest = latency::is_bounded(state, offer);
     let now = state.now;
     let Some(admission) = state.admission.targets.get_mut(&offer.target) else {
         return;
     };
     match result {
         calls::RunResult::Done { status: 503 } | calls::RunResult::Declined => {
-            admission.pace.note_shed(admission.running, announced);
+            admission.estimate.record_shed(admission.running, announced);
         }
         calls::RunResult::Done { status } if status < 500 => {
-            admission
-                .pace
-                .note_run(&offer.route, took, offer.cost, announced, admission.running);
+            admission.estimate.record_run(
+                &offer.route,
+                elapsed,
+                offer.cost,
+                announced,
+                admission.running,
+            );
         }
         _ => {}
     }
     admission.running = admission.running.saturating_sub(1);
-    if is_last {
-        admission.running_last = admission.running_last.saturating_sub(1);
+    if is_lowest {
+        admission.running_lowest = admission.running_lowest.saturating_sub(1);
     } else {
         let latency = Duration::from_millis(u64::from(offer.latency_left_ms));
-        admission.urgent.note_run(took, latency, now);
+        admission.priority_usage.record_run(elapsed, latency, now);
     }
 }
 
-/// Takes a call out of its queue.
-pub fn forget(state: &mut reducer::EngineState, target: &ids::TargetName, call: ids::CallId) {
+/// Removes a call from its queue.
+pub fn remove_queued(
+    state: &mut reducer::EngineState,
+    target: &ids::TargetName,
+    call: ids::CallId,
+) {
     if let Some(admission) = state.admission.targets.get_mut(target) {
         admission.queue.remove(call);
-        admission.watch_queue(state.now);
+        admission.update_standing(state.now);
     }
 }
 
-/// Takes out every call whose time to start is over.
+/// Removes every queued call that can no longer start in time.
 pub fn expire(state: &mut reducer::EngineState) -> Vec<ids::CallId> {
     let now = state.now;
     let queues = state.admission.targets.values_mut();
     queues
         .flat_map(|admission| {
             let expired = admission.queue.expire(now);
-            admission.watch_queue(now);
+            admission.update_standing(now);
             expired
         })
         .map(|queued| queued.call)
         .collect()
 }
 
-/// What is reported of an own target with the answer to a call.
+/// Returns the load report on an owned target that accompanies the response to a call.
 pub fn report(state: &reducer::EngineState, offer: &wire::CallOffer) -> wire::LoadReport {
     let admission = state.admission.targets.get(&offer.target);
     let run = admission.map_or(Duration::ZERO, |admission| {
-        admission.pace.run_time(&offer.route, offer.cost)
+        admission.estimate.run_time(&offer.route, offer.cost)
     });
     wire::LoadReport {
         route_us: u32::try_from(run.as_micros()).unwrap_or(u32::MAX),
@@ -237,40 +253,41 @@
     }
 }
 
-/// Load of an own target, of no route.
+/// Returns the load of an owned target without a route's service time.
 pub fn load(state: &reducer::EngineState, target: &ids::TargetName) -> wire::LoadReport {
     let admission = state.admission.targets.get(target);
     wire::LoadReport {
         in_flight: admission.map_or(0, |admission| admission.running),
         queued: admission.map_or(0, queued_runs),
         slots: slots(state, target),
-        service_us: admission.map_or(0, |admission| admission.pace.service_us()),
+        service_us: admission.map_or(0, |admission| admission.estimate.service_us()),
         route_us: 0,
         is_failing: health::is_failing(state, target),
     }
 }
 
-/// Requests of an own target that run or wait, those that wait in runs of the mean length.
+/// Returns the running and queued requests of an owned target, the queued ones counted in runs of
+/// mean length.
 pub fn in_use(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
     let admission = state.admission.targets.get(target);
     admission.map_or(0, |admission| admission.running + queued_runs(admission))
 }
 
-/// How many runs of the mean length take as long as what waits.
+/// Returns the number of runs of mean length that take as long as the queued work.
 fn queued_runs(admission: &TargetAdmission) -> u32 {
-    let mean = f64::from(admission.pace.service_us()) / 1e6;
+    let mean = f64::from(admission.estimate.service_us()) / 1e6;
     if mean > 0.0 {
-        (admission.queue.work() / mean).round() as u32
+        (admission.queue.queued_work_s() / mean).round() as u32
     } else {
         admission.queue.len() as u32
     }
 }
 
-/// Slots of an own target that are used.
+/// Returns the slots of an owned target that may be used at once.
 pub fn slots(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
     let announced = announced_slots(state, target);
     let admission = state.admission.targets.get(target);
-    admission.map_or(announced, |admission| admission.pace.slots(announced))
+    admission.map_or(announced, |admission| admission.estimate.slots(announced))
 }
 
 fn announced_slots(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
@@ -278,7 +295,7 @@
         return 0;
     };
     let catalogue = &state.dissemination.in_force;
-    // Each run takes a connection of its own, so that those bound the slots too.
+    // Each run takes a connection of its own, so the connection limit bounds the slots too.
     let limit = catalogue
         .service(&own.record.service)
         .map_or(u32::MAX, |service| {
@@ -287,118 +304,125 @@
     own.record.slots.min(own.record.connections).min(limit)
 }
 
-fn take_place(
+fn place_call(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     offer: &wire::CallOffer,
-) -> AdmissionAnswer {
+) -> AdmissionDecision {
     let slots = slots(state, &offer.target);
-    let share = share(state, offer);
-    let useful = urgency::useful_time(state, offer);
-    let is_last = urgency::is_bounded(state, offer);
-    let is_overdue = urgency::is_overdue(state, offer);
-    let class_wait = longest_wait(state, offer);
+    let params = scheduling_params(state, offer);
+    let useful_time = latency::useful_time(state, offer);
+    let is_lowest = latency::is_bounded(state, offer);
+    let is_overdue = latency::is_overdue(state, offer);
+    let max_class_wait = max_queue_time(state, offer);
     let now = state.now;
     let admission = state
         .admission
         .targets
         .entry(offer.target.clone())
         .or_default();
-    let is_open = !is_last || admission.is_open_to_last(slots, now);
+    let is_open = !is_lowest || admission.admits_lowest(slots, now);
     if admission.running < slots && admission.queue.is_empty() && is_open {
         admission.running += 1;
-        admission.running_last += u32::from(is_last);
-        admission.queue.charge(&share, offer.cost);
-        return AdmissionAnswer::Run;
+        admission.running_lowest += u32::from(is_lowest);
+        admission.queue.charge(&params, offer.cost);
+        return AdmissionDecision::Run;
     }
-    let is_anyone_waiting = !admission.queue.is_empty();
-    let by_better = if is_last {
-        admission.urgent.used(now)
+    let is_queue_occupied = !admission.queue.is_empty();
+    let used_by_higher = if is_lowest {
+        admission.priority_usage.used(now)
     } else {
         0
     };
-    let room = SlotRoom {
+    let available = AvailableSlots {
         of_target: slots,
-        of_class: slots.saturating_sub(by_better).max(1),
+        of_class: slots.saturating_sub(used_by_higher).max(1),
     };
-    let run = admission.pace.run_time(&offer.route, offer.cost);
-    // One that is overdue gets the next slot or none.
-    let longest = if is_overdue {
-        class_wait.min(run)
+    let run = admission.estimate.run_time(&offer.route, offer.cost);
+    // An overdue call gets the next free slot or none.
+    let wait_limit = if is_overdue {
+        max_class_wait.min(run)
     } else {
-        class_wait
+        max_class_wait
     };
-    let longest_useful = useful.saturating_sub(run);
-    let until = now + longest.min(longest_useful);
-    let wait = admission.wait(&share, offer, until, room);
+    let useful_wait = useful_time.saturating_sub(run);
+    let start_deadline = now + wait_limit.min(useful_wait);
+    let wait = admission.queue_wait(&params, offer, start_deadline, available);
     let left = Duration::from_millis(u64::from(offer.deadline_left_ms));
     if wait + run > left {
-        return AdmissionAnswer::Refuse(refusal::refuse_unreachable(state, offer, wait));
+        return AdmissionDecision::Refuse(refusal::deadline_refusal(state, offer, wait));
     }
-    let turnover = admission.pace.time_for(1.0, slots);
-    let bearable = if is_last {
+    let release_interval = admission.estimate.time_for(1.0, slots);
+    let admissible_wait = if is_lowest {
         let standing = admission.standing;
-        standing.bearable_wait(longest_useful, turnover, now)
+        standing.max_queue_wait(useful_wait, release_interval, now)
     } else {
-        longest_useful
+        useful_wait
     };
-    let is_late = wait > bearable || run > useful || is_overdue && is_anyone_waiting;
+    let is_late = wait > admissible_wait || run > useful_time || is_overdue && is_queue_occupied;
     if is_late || wait > Duration::from_millis(u64::from(offer.patience_ms)) {
-        // Room is there once those ahead are so few that the call would be admitted.
-        let excess = wait.saturating_sub(bearable);
-        return AdmissionAnswer::Refuse(refusal::refuse_late(state, offer, excess.max(turnover)));
+        // The call would be admitted once the queue has shrunk by the excess wait.
+        let excess = wait.saturating_sub(admissible_wait);
+        return AdmissionDecision::Refuse(refusal::latency_refusal(
+            state,
+            offer,
+            excess.max(release_interval),
+        ));
     }
-    if wait > class_wait {
-        let limit = refusal::limit(
+    if wait > max_class_wait {
+        let limit = refusal::call_limit(
             entry::EntryKind::Class,
             &offer.class,
             wire::LimitField::QueueTime,
         );
-        return AdmissionAnswer::Refuse(refusal::refuse_capacity(state, offer, limit));
+        return AdmissionDecision::Refuse(refusal::capacity_refusal(state, offer, limit));
     }
     let queued = queue::QueuedCall {
         call,
         cost: offer.cost,
-        run,
-        since: now,
-        until,
+        expected_run: run,
+        queued_at: now,
+        start_deadline,
     };
-    enqueue(state, offer, &share, queued)
+    enqueue(state, offer, &params, queued)
 }
 
 fn enqueue(
     state: &mut reducer::EngineState,
     offer: &wire::CallOffer,
-    share: &queue::CallShare,
+    params: &queue::SchedulingParams,
     queued: queue::QueuedCall,
-) -> AdmissionAnswer {
+) -> AdmissionDecision {
     let now = state.now;
     let service = state.dissemination.in_force.service(&offer.service);
     let capacity = service.map_or(0, |service| service.limits.queue as usize);
     let admission = &mut state.admission.targets[&offer.target];
-    let displaced = match admission.queue.make_room(share, offer.cost, capacity) {
-        queue::RoomAnswer::Free => None,
-        queue::RoomAnswer::Displaced(displaced) => Some(displaced.call),
-        queue::RoomAnswer::Full => {
+    let displaced = match admission.queue.make_room(params, offer.cost, capacity) {
+        queue::CapacityResult::Free => None,
+        queue::CapacityResult::Displaced(displaced) => Some(displaced.call),
+        queue::CapacityResult::Full => {
             let field = if capacity == 0 {
                 wire::LimitField::Slots
             } else {
                 wire::LimitField::Queue
             };
-            let limit = refusal::limit(entry::EntryKind::Service, &offer.service, field);
-            return AdmissionAnswer::Refuse(refusal::refuse_capacity(state, offer, limit));
+            let limit = refusal::call_limit(entry::EntryKind::Service, &offer.service, field);
+            return AdmissionDecision::Refuse(refusal::capacity_refusal(state, offer, limit));
         }
     };
-    admission.queue.push(share, queued);
-    admission.watch_queue(now);
-    AdmissionAnswer::Wait { displaced }
+    admission.queue.push(params, queued);
+    admission.update_standing(now);
+    AdmissionDecision::Wait { displaced }
 }
 
-fn share(state: &reducer::EngineState, offer: &wire::CallOffer) -> queue::CallShare {
+fn scheduling_params(
+    state: &reducer::EngineState,
+    offer: &wire::CallOffer,
+) -> queue::SchedulingParams {
     let catalogue = &state.dissemination.in_force;
     let class = catalogue.class(&offer.class);
     let owner = catalogue.owner(&offer.owner);
-    queue::CallShare {
+    queue::SchedulingParams {
         class: offer.class.clone(),
         rank: class.map_or(UNKNOWN_RANK, |class| class.rank),
         guaranteed_share: class.map_or(0.0, |class| class.limits.guaranteed_share),
@@ -407,26 +431,27 @@
     }
 }
 
-fn longest_wait(state: &reducer::EngineState, offer: &wire::CallOffer) -> Duration {
+fn max_queue_time(state: &reducer::EngineState, offer: &wire::CallOffer) -> Duration {
     let class = state.dissemination.in_force.class(&offer.class);
     let limits = class.map_or_else(entry::ClassLimits::default, |class| class.limits.clone());
     Duration::from_millis(u64::from(limits.queue_ms))
 }
 
-/// The refusal of a call whose owner is over its rate here; `None` when it may pass.
+/// Returns the refusal of a call whose owner exceeds its rate at this node, or `None` if the call
+/// may pass.
 fn check_rate(
     state: &mut reducer::EngineState,
     offer: &wire::CallOffer,
 ) -> Option<wire::CallRefusal> {
-    let limit_of_owner = state
+    let owner_limit = state
         .dissemination
         .in_force
         .owner(&offer.owner)?
         .limits
         .rate;
-    let whole = limit_of_owner?.per_second();
+    let service_rate = owner_limit?.per_second();
     routing::table::refresh(state);
-    let rate = whole * own_part(state, &offer.service);
+    let rate = service_rate * local_share(state, &offer.service);
     let burst = settings::millis(state.settings.tunables.admission.burst_ms);
     let now = state.now;
     let key = (offer.owner.clone(), offer.service.clone());
@@ -440,19 +465,19 @@
     if wait.is_zero() {
         return None;
     }
-    let limit = refusal::limit(
+    let limit = refusal::call_limit(
         entry::EntryKind::Owner,
         &offer.owner,
         wire::LimitField::Rate,
     );
     let refusal = wire::CallRefusal::not_run(code::ResultCode::RateExceeded)
         .elsewhere()
-        .by_limit(limit, refusal::whole_millis(wait));
+        .by_limit(limit, refusal::nonzero_millis(wait));
     Some(refusal::with_load(state, offer, refusal))
 }
 
-/// This node's part of a service's live slots.
-fn own_part(state: &reducer::EngineState, service: &ids::EntryName) -> f64 {
+/// Returns this node's share of a service's live slots.
+fn local_share(state: &reducer::EngineState, service: &ids::EntryName) -> f64 {
     let table = &state.routing.table;
     let own = &state.settings.identity.instance;
     let of_own = table.of_service(service).iter();
--- /dev/null
+++ b/crates/engine/src/admission/latency.rs
@@ -0,0 +1,46 @@
+//! Time within which the response to a call is useful to its caller.
+//!
+//! A route may set a target latency, after which a response is worth less. Under sustained
+//! overload, a queue that holds calls beyond their target latency serves all of them late. If it
+//! refuses them instead, as many calls as the slots can run are served in time, and the other
+//! callers learn without delay that they should retry. This applies to the lowest-priority class of
+//! a service. A call of a higher-priority class displaces such calls, and is often made on behalf
+//! of a call that already holds a slot, so refusing it saves nothing: it is kept until its
+//! deadline.
+//!
+//! A call of the lowest-priority class may arrive after its target latency has passed or when it is
+//! out of reach, because its caller was refused elsewhere or every target is slow. Its response
+//! still has some value, so it gets a slot that no other call wants, or the next one if no other
+//! call waits. If it took a slot while others wait, one of those would become late in turn, and so
+//! on for as long as the overload lasts.
+
+use std::time::Duration;
+
+use hazeltiller_wire::calls as wire;
+
+use crate::reducer;
+
+/// Returns the time from now within which the response to a call is useful.
+pub(super) fn useful_time(state: &reducer::EngineState, offer: &wire::CallOffer) -> Duration {
+    let millis = if is_bounded(state, offer) && !is_overdue(state, offer) {
+        offer.latency_left_ms
+    } else {
+        offer.deadline_left_ms
+    };
+    Duration::from_millis(u64::from(millis))
+}
+
+/// Returns whether a call of the lowest-priority class can no longer be answered within its route's
+/// target latency.
+pub(super) fn is_overdue(state: &reducer::EngineState, offer: &wire::CallOffer) -> bool {
+    offer.latency_left_ms == 0 && is_bounded(state, offer)
+}
+
+/// Returns whether a call is held to its route's target latency: its class is the lowest-priority
+/// class with a route to its service.
+pub(super) fn is_bounded(state: &reducer::EngineState, offer: &wire::CallOffer) -> bool {
+    let catalogue = &state.dissemination.in_force;
+    let rank = catalogue.class(&offer.class).map(|class| class.rank);
+    let lowest_rank = state.routing.routes.last_rank(&offer.service);
+    rank >= lowest_rank
+}
--- a/crates/engine/src/admission/queue.rs
+++ b/crates/engine/src/admission/queue.rs
@@ -1,83 +1,96 @@
-//! Calls that wait for a slot of one target: by rank of their class, then fair between owners.
+//! Queue of the calls that wait for a slot of one target: priority scheduling between classes and
+//! weighted fair queueing between owners.
 //!
-//! Classes are served in order of rank, but each one gets at least its guaranteed share of the work
-//! that is given out while it waits. Within a class, owners share by weight: each has a virtual
-//! time that grows with cost over weight as its calls start, and the one with the least goes next.
-//! An owner's own calls start in the order in which they must have started.
-//! A full queue gives up the newest call of whoever is furthest over their part.
+//! Classes are served in order of rank, lowest number first, but each class gets at least its
+//! guaranteed share of the work that starts while its calls wait. Within a class, owners share by
+//! weight: each owner has a virtual time that advances by cost divided by weight as its calls
+//! start, and the owner with the smallest virtual time is served next. The calls of one owner start
+//! in order of their start deadlines. A full queue drops the last call of the owner that exceeds
+//! its share the most.
 
 use std::{collections::VecDeque, time::Duration};
 
 use hazeltiller_units::{ids, time};
 use indexmap::IndexMap;
 
-/// Most unused guaranteed work that a class can save up, in cost units.
-const MOST_CREDIT: f64 = 100.0;
+/// Maximum unused guaranteed work that a class can accumulate, in cost units.
+const MAX_CREDIT: f64 = 100.0;
 
-/// Whose call it is, and what they are entitled to.
+/// Class and owner of a call with the parameters by which the call is scheduled.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallShare {
-    /// Its class.
+pub struct SchedulingParams {
+    /// Class of the call.
     pub class: ids::EntryName,
-    /// Rank of the class.
+    /// Rank of the class; a lower number is served first.
     pub rank: u32,
-    /// Guaranteed share of the class.
+    /// Guaranteed share of the class in the work, from 0 to 1.
     pub guaranteed_share: f64,
-    /// Its owner.
+    /// Owner of the call.
     pub owner: ids::EntryName,
-    /// Weight of the owner.
+    /// Weight of the owner among the owners of the class.
     pub weight: u32,
 }
 
-/// A call that waits.
+/// A queued call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueuedCall {
-    /// Which call.
+    /// Identifier of the call.
     pub call: ids::CallId,
-    /// Its cost in units.
+    /// Cost of the call, in cost units.
     pub cost: u32,
-    /// Time that its run is expected to take.
-    pub run: Duration,
-    /// When it came.
-    pub since: time::MonotonicTime,
-    /// When it must have started.
-    pub until: time::MonotonicTime,
+    /// Expected run time.
+    pub expected_run: Duration,
+    /// When the call was queued.
+    pub queued_at: time::MonotonicTime,
+    /// Time at which the call expires unless it has started.
+    pub start_deadline: time::MonotonicTime,
 }
 
-/// Waiting calls of one owner in one class.
+/// Queued calls of one owner in one class, in order of start deadline.
 #[derive(Debug, Clone, Default)]
 struct OwnerQueue {
     weight: f64,
     virtual_time: f64,
-    waiting: VecDeque<QueuedCall>,
+    queued_calls: VecDeque<QueuedCall>,
 }
 
 impl OwnerQueue {
     fn cost(&self) -> f64 {
-        self.waiting.iter().map(|call| f64::from(call.cost)).sum()
+        self.queued_calls
+            .iter()
+            .map(|call| f64::from(call.cost))
+            .sum()
     }
 
-    /// Time of all their runs, in seconds of one slot.
-    fn work(&self) -> f64 {
-        self.waiting.iter().map(|call| call.run.as_secs_f64()).sum()
+    /// Returns the expected run time of all queued calls, in slot-seconds.
+    fn queued_work_s(&self) -> f64 {
+        self.queued_calls
+            .iter()
+            .map(|call| call.expected_run.as_secs_f64())
+            .sum()
     }
 
-    /// The same of those that start before one that must have started by then.
-    fn work_before(&self, until: time::MonotonicTime) -> f64 {
-        let before = self.waiting.iter().take_while(|call| call.until <= until);
-        before.map(|call| call.run.as_secs_f64()).sum()
+    /// Returns the expected run time of the calls that start before one with this start deadline,
+    /// in slot-seconds.
+    fn work_before_s(&self, start_deadline: time::MonotonicTime) -> f64 {
+        let before = self
+            .queued_calls
+            .iter()
+            .take_while(|call| call.start_deadline <= start_deadline);
+        before.map(|call| call.expected_run.as_secs_f64()).sum()
     }
 
-    fn excess(&self) -> f64 {
+    fn weighted_cost(&self) -> f64 {
         self.cost() / self.weight
     }
 }
 
-/// Waiting calls of one class.
+/// Queued calls of one class.
 #[derive(Debug, Clone, Default)]
 struct ClassQueue {
     rank: u32,
-    share: f64,
+    guaranteed_share: f64,
+    /// Unused guaranteed work, in cost units.
     credit: f64,
     virtual_time: f64,
     owners: IndexMap<ids::EntryName, OwnerQueue>,
@@ -85,202 +98,231 @@
 
 impl ClassQueue {
     fn len(&self) -> usize {
-        self.owners.values().map(|owner| owner.waiting.len()).sum()
+        self.owners
+            .values()
+            .map(|owner| owner.queued_calls.len())
+            .sum()
     }
 
-    fn work(&self) -> f64 {
-        self.owners.values().map(OwnerQueue::work).sum()
+    fn queued_work_s(&self) -> f64 {
+        self.owners.values().map(OwnerQueue::queued_work_s).sum()
     }
 
-    fn owner(&mut self, share: &CallShare) -> &mut OwnerQueue {
-        let owner = self.owners.entry(share.owner.clone()).or_default();
-        owner.weight = f64::from(share.weight.max(1));
+    fn owner(&mut self, params: &SchedulingParams) -> &mut OwnerQueue {
+        let owner = self.owners.entry(params.owner.clone()).or_default();
+        owner.weight = f64::from(params.weight.max(1));
         owner
     }
 
-    fn start(&mut self, share_owner: &ids::EntryName, cost: u32) {
-        let class_time = self.virtual_time;
+    fn start(&mut self, owner_name: &ids::EntryName, cost: u32) {
+        let class_virtual_time = self.virtual_time;
         let owner = self
             .owners
-            .get_mut(share_owner)
+            .get_mut(owner_name)
             .expect("its call starts, so it has a queue");
-        let start = owner.virtual_time.max(class_time);
+        let start = owner.virtual_time.max(class_virtual_time);
         owner.virtual_time = start + f64::from(cost) / owner.weight;
         self.virtual_time = start;
     }
 
-    /// The owner whose call starts next.
+    /// Returns the owner whose call starts next.
     fn next_owner(&self) -> Option<&ids::EntryName> {
         let start = |owner: &OwnerQueue| owner.virtual_time.max(self.virtual_time);
         self.owners
             .iter()
-            .filter(|(_, owner)| !owner.waiting.is_empty())
+            .filter(|(_, owner)| !owner.queued_calls.is_empty())
             .min_by(|(_, one), (_, other)| start(one).total_cmp(&start(other)))
             .map(|(name, _)| name)
     }
 
     fn head(&self) -> Option<&QueuedCall> {
-        self.owners[self.next_owner()?].waiting.front()
+        self.owners[self.next_owner()?].queued_calls.front()
     }
 
-    /// Takes the newest call of the owner with the most waiting for its weight.
-    fn drop_newest(&mut self) -> Option<QueuedCall> {
+    /// Removes the last call of the owner with the highest queued cost for its weight.
+    fn drop_last(&mut self) -> Option<QueuedCall> {
         self.owners
             .values_mut()
-            .max_by(|one, other| one.excess().total_cmp(&other.excess()))?
-            .waiting
+            .max_by(|one, other| one.weighted_cost().total_cmp(&other.weighted_cost()))?
+            .queued_calls
             .pop_back()
     }
 
-    /// Queued calls that other classes do not displace.
-    fn reserved(&self, capacity: usize) -> usize {
-        (self.share * capacity as f64).ceil() as usize
+    /// Returns the number of places in the queue from which other classes cannot displace calls.
+    fn reserved_places(&self, capacity: usize) -> usize {
+        (self.guaranteed_share * capacity as f64).ceil() as usize
     }
 }
 
-/// What a full queue does for a call that comes.
+/// Outcome of making room in the queue for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RoomAnswer {
-    /// There is room.
+pub enum CapacityResult {
+    /// The queue has a free place.
     Free,
-    /// A queued call has lost its place to it.
+    /// This queued call lost its place to the arriving one.
     Displaced(QueuedCall),
-    /// There is none.
+    /// The queue is full and no queued call yields its place.
     Full,
 }
 
-/// Calls that wait for one target.
+/// Queue of calls that wait for a slot of one target.
 #[derive(Debug, Clone, Default)]
 pub struct FairQueue {
     classes: IndexMap<ids::EntryName, ClassQueue>,
 }
 
 impl FairQueue {
-    /// How many wait.
+    /// Returns the number of queued calls.
     pub fn len(&self) -> usize {
         self.classes.values().map(ClassQueue::len).sum()
     }
 
-    /// Whether none waits.
+    /// Returns whether no call is queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Time of the runs of all that wait, in seconds of one slot.
-    pub fn work(&self) -> f64 {
-        self.classes.values().map(ClassQueue::work).sum()
+    /// Returns the expected run time of all queued calls, in slot-seconds.
+    pub fn queued_work_s(&self) -> f64 {
+        self.classes.values().map(ClassQueue::queued_work_s).sum()
     }
 
-    /// Adds a call.
-    pub fn push(&mut self, share: &CallShare, call: QueuedCall) {
-        let waiting = &mut self.class(share).owner(share).waiting;
-        let place = waiting.partition_point(|other| other.until <= call.until);
-        waiting.insert(place, call);
+    /// Adds a call to the queue.
+    pub fn push(&mut self, params: &SchedulingParams, call: QueuedCall) {
+        let queued_calls = &mut self.class(params).owner(params).queued_calls;
+        let place =
+            queued_calls.partition_point(|other| other.start_deadline <= call.start_deadline);
+        queued_calls.insert(place, call);
     }
 
-    /// Counts a call that starts without waiting.
-    pub fn charge(&mut self, share: &CallShare, cost: u32) {
-        let class = self.class(share);
-        class.owner(share);
-        class.start(&share.owner, cost);
+    /// Charges a call that starts without waiting to its owner's virtual time.
+    pub fn charge(&mut self, params: &SchedulingParams, cost: u32) {
+        let class = self.class(params);
+        class.owner(params);
+        class.start(&params.owner, cost);
     }
 
-    /// Takes out the call that starts next, with the rank of its class.
+    /// Removes the call that starts next and returns it with the rank of its class.
     pub fn pop(&mut self) -> Option<(QueuedCall, u32)> {
-        let chosen = self.next_class(u32::MAX)?.clone();
-        self.pop_of(chosen)
+        let class_name = self.next_class(u32::MAX)?.clone();
+        self.pop_from(class_name)
     }
 
-    /// The same among the classes of better rank than this.
-    pub fn pop_better(&mut self, rank: u32) -> Option<(QueuedCall, u32)> {
-        let chosen = self.next_class(rank)?.clone();
-        self.pop_of(chosen)
+    /// Removes the call that starts next among the classes with a lower rank number than `rank`,
+    /// and returns it with the rank of its class.
+    pub fn pop_higher_priority(&mut self, rank: u32) -> Option<(QueuedCall, u32)> {
+        let class_name = self.next_class(rank)?.clone();
+        self.pop_from(class_name)
     }
 
-    fn pop_of(&mut self, chosen: ids::EntryName) -> Option<(QueuedCall, u32)> {
-        let owner = self.classes[&chosen].next_owner()?.clone();
-        let class = &mut self.classes[&chosen];
+    fn pop_from(&mut self, class_name: ids::EntryName) -> Option<(QueuedCall, u32)> {
+        let owner = self.classes[&class_name].next_owner()?.clone();
+        let class = &mut self.classes[&class_name];
         let queue = &mut class.owners[&owner];
-        let call = queue.waiting.pop_front()?;
+        let call = queue.queued_calls.pop_front()?;
         class.start(&owner, call.cost);
         let rank = class.rank;
-        self.give_credit(&chosen, f64::from(call.cost));
+        self.update_credits(&class_name, f64::from(call.cost));
         Some((call, rank))
     }
 
-    /// Takes a call out.
+    /// Removes a call.
     pub fn remove(&mut self, call: ids::CallId) {
         for owner in self.owners_mut() {
-            owner.waiting.retain(|queued| queued.call != call);
+            owner.queued_calls.retain(|queued| queued.call != call);
         }
     }
 
-    /// Takes out every call whose time to start is over.
+    /// Removes and returns every call whose start deadline has passed.
     pub fn expire(&mut self, now: time::MonotonicTime) -> Vec<QueuedCall> {
         let mut expired = Vec::new();
         for owner in self.owners_mut() {
-            expired.extend(owner.waiting.iter().filter(|call| call.until <= now));
-            owner.waiting.retain(|call| call.until > now);
+            expired.extend(
+                owner
+                    .queued_calls
+                    .iter()
+                    .filter(|call| call.start_deadline <= now),
+            );
+            owner.queued_calls.retain(|call| call.start_deadline > now);
         }
         expired
     }
 
-    /// Makes room for a call in a queue of `capacity`.
-    pub fn make_room(&mut self, share: &CallShare, cost: u32, capacity: usize) -> RoomAnswer {
+    /// Makes room for a call in a queue of `capacity` places, if necessary by displacing a queued
+    /// call.
+    ///
+    /// A call of another class yields its place if that class exceeds its reserved places, and if
+    /// it has lower priority or the arriving class is within its own reserved places. Otherwise a
+    /// call of the same class may yield if its owner exceeds its share by more than the arriving
+    /// call's owner.
+    pub fn make_room(
+        &mut self,
+        params: &SchedulingParams,
+        cost: u32,
+        capacity: usize,
+    ) -> CapacityResult {
         if self.len() < capacity {
-            return RoomAnswer::Free;
+            return CapacityResult::Free;
         }
-        let arriving = self.class(share);
-        let is_entitled = arriving.len() < arriving.reserved(capacity);
-        let victim = self
+        let arriving = self.class(params);
+        let is_within_reserve = arriving.len() < arriving.reserved_places(capacity);
+        let yielding = self
             .classes
             .iter()
             .filter(|(name, class)| {
-                **name != share.class
-                    && class.len() > class.reserved(capacity)
-                    && (is_entitled || class.rank > share.rank)
+                **name != params.class
+                    && class.len() > class.reserved_places(capacity)
+                    && (is_within_reserve || class.rank > params.rank)
             })
             .max_by_key(|(_, class)| class.rank)
             .map(|(name, _)| name.clone());
-        let displaced = match victim {
-            Some(victim) => self.classes[&victim].drop_newest(),
-            None => self.displace_within(share, cost),
+        let displaced = match yielding {
+            Some(yielding) => self.classes[&yielding].drop_last(),
+            None => self.displace_within_class(params, cost),
         };
-        displaced.map_or(RoomAnswer::Full, RoomAnswer::Displaced)
+        displaced.map_or(CapacityResult::Full, CapacityResult::Displaced)
     }
 
-    /// Time of the runs that start before a call that comes now and must have started by `until`, by what
-    /// waits now, in seconds of one slot.
-    pub fn work_ahead(&self, share: &CallShare, until: time::MonotonicTime) -> f64 {
-        let Some(own) = self.classes.get(&share.class) else {
-            return self.work_of_better(share.rank);
+    /// Returns the expected run time of the queued calls that would start before a call that
+    /// arrives now with this start deadline, in slot-seconds.
+    pub fn work_ahead(
+        &self,
+        params: &SchedulingParams,
+        start_deadline: time::MonotonicTime,
+    ) -> f64 {
+        let Some(own) = self.classes.get(&params.class) else {
+            return self.higher_priority_work_s(params.rank);
         };
-        let own_owner = own.owners.get(&share.owner);
-        let mine = own_owner.map_or(0.0, |owner| owner.work_before(until));
-        let weight = f64::from(share.weight.max(1));
-        let others: f64 = own
+        let own_owner = own.owners.get(&params.owner);
+        let own_work_s = own_owner.map_or(0.0, |owner| owner.work_before_s(start_deadline));
+        let weight = f64::from(params.weight.max(1));
+        let other_work_s: f64 = own
             .owners
             .iter()
-            .filter(|(name, owner)| **name != share.owner && !owner.waiting.is_empty())
-            .map(|(_, owner)| owner.work().min(mine * owner.weight / weight))
+            .filter(|(name, owner)| **name != params.owner && !owner.queued_calls.is_empty())
+            .map(|(_, owner)| {
+                owner
+                    .queued_work_s()
+                    .min(own_work_s * owner.weight / weight)
+            })
             .sum();
-        let by_rank = self.work_of_better(share.rank) + mine + others;
-        if own.share > 0.0 {
-            by_rank.min((mine + others) / own.share)
+        let by_rank_s = self.higher_priority_work_s(params.rank) + own_work_s + other_work_s;
+        if own.guaranteed_share > 0.0 {
+            by_rank_s.min((own_work_s + other_work_s) / own.guaranteed_share)
         } else {
-            by_rank
+            by_rank_s
         }
     }
 
-    fn work_of_better(&self, rank: u32) -> f64 {
-        let better = self.classes.values().filter(|class| class.rank < rank);
-        better.map(ClassQueue::work).sum()
+    fn higher_priority_work_s(&self, rank: u32) -> f64 {
+        let higher = self.classes.values().filter(|class| class.rank < rank);
+        higher.map(ClassQueue::queued_work_s).sum()
     }
 
-    fn class(&mut self, share: &CallShare) -> &mut ClassQueue {
-        let class = self.classes.entry(share.class.clone()).or_default();
-        class.rank = share.rank;
-        class.share = share.guaranteed_share;
+    fn class(&mut self, params: &SchedulingParams) -> &mut ClassQueue {
+        let class = self.classes.entry(params.class.clone()).or_default();
+        class.rank = params.rank;
+        class.guaranteed_share = params.guaranteed_share;
         class
     }
 
@@ -290,44 +332,50 @@
             .flat_map(|class| class.owners.values_mut())
     }
 
-    /// The class whose call starts next: one that has its guarantee to come, or the first by rank;
-    /// among equal ranks the one whose call waits longest. Only ranks better than `than` count.
-    fn next_class(&self, than: u32) -> Option<&ids::EntryName> {
+    /// Returns the class whose call starts next: first classes whose guaranteed share is due, then
+    /// by rank, then by the longest wait. Considers only classes with a lower rank number than
+    /// `rank`.
+    fn next_class(&self, rank: u32) -> Option<&ids::EntryName> {
         let heads = self
             .classes
             .iter()
-            .filter(|(_, class)| class.rank < than)
+            .filter(|(_, class)| class.rank < rank)
             .filter_map(|(name, class)| Some((name, class, class.head()?)));
         heads
             .min_by_key(|(_, class, head)| {
-                let is_owed = class.credit >= f64::from(head.cost);
-                (!is_owed, class.rank, head.since)
+                let is_guarantee_due = class.credit >= f64::from(head.cost);
+                (!is_guarantee_due, class.rank, head.queued_at)
             })
             .map(|(name, ..)| name)
     }
 
-    fn give_credit(&mut self, chosen: &ids::EntryName, cost: f64) {
+    fn update_credits(&mut self, class_name: &ids::EntryName, cost: f64) {
         for (name, class) in &mut self.classes {
             if class.len() == 0 {
                 class.credit = 0.0;
                 continue;
             }
-            let spent = if name == chosen { cost } else { 0.0 };
-            class.credit = (class.credit + class.share * cost - spent).clamp(0.0, MOST_CREDIT);
+            let spent = if name == class_name { cost } else { 0.0 };
+            class.credit =
+                (class.credit + class.guaranteed_share * cost - spent).clamp(0.0, MAX_CREDIT);
         }
     }
 
-    fn displace_within(&mut self, share: &CallShare, cost: u32) -> Option<QueuedCall> {
-        let class = &mut self.classes[&share.class];
-        let own = class.owner(share);
-        let excess = (own.cost() + f64::from(cost)) / own.weight;
-        let heaviest = class
+    fn displace_within_class(
+        &mut self,
+        params: &SchedulingParams,
+        cost: u32,
+    ) -> Option<QueuedCall> {
+        let class = &mut self.classes[&params.class];
+        let own = class.owner(params);
+        let weighted_cost = (own.cost() + f64::from(cost)) / own.weight;
+        let max_weighted_cost = class
             .owners
             .values()
-            .map(OwnerQueue::excess)
+            .map(OwnerQueue::weighted_cost)
             .fold(0.0, f64::max);
-        if heaviest > excess {
-            class.drop_newest()
+        if max_weighted_cost > weighted_cost {
+            class.drop_last()
         } else {
             None
         }
--- a/crates/engine/src/admission/refusal.rs
+++ b/crates/engine/src/admission/refusal.rs
@@ -1,5 +1,5 @@
-//! Refusals of offered calls: none of them ran, and each names the limit that did it and when there would
-//! be room.
+//! Refusals of offered calls. A refused call did not run; its refusal names the limit that caused
+//! it and the time after which to retry.
 
 use std::time::Duration;
 
@@ -7,101 +7,105 @@
 use hazeltiller_units::{code, ids, time};
 use hazeltiller_wire::calls as wire;
 
-use super::urgency;
+use super::latency;
 use crate::{admission, reducer};
 
-/// The refusal of a call that waited too long for a slot.
-pub fn refuse_waited(
+/// Returns the refusal of a call that expired in the queue.
+pub fn expired_refusal(
     state: &reducer::EngineState,
     offer: &wire::CallOffer,
     deadline: time::MonotonicTime,
 ) -> wire::CallRefusal {
     if deadline <= state.now {
-        let late = wire::CallRefusal::not_run(code::ResultCode::DeadlineExceeded);
+        let refusal = wire::CallRefusal::not_run(code::ResultCode::DeadlineExceeded);
         let limit = route_limit(offer, wire::LimitField::Deadline);
-        return with_load(state, offer, late.by_limit(limit, 0));
+        return with_load(state, offer, refusal.by_limit(limit, 0));
     }
     let latency = Duration::from_millis(u64::from(offer.latency_left_ms));
-    if urgency::is_bounded(state, offer) && admission::longest_wait(state, offer) > latency {
+    if latency::is_bounded(state, offer) && admission::max_queue_time(state, offer) > latency {
         let admission = state.admission.targets.get(&offer.target);
         let wait = admission.map_or(Duration::ZERO, |admission| {
             admission.time_to_drain(admission::slots(state, &offer.target))
         });
-        return refuse_late(state, offer, wait);
+        return latency_refusal(state, offer, wait);
     }
-    let limit = limit(
+    let limit = call_limit(
         entry::EntryKind::Class,
         &offer.class,
         wire::LimitField::QueueTime,
     );
-    refuse_capacity(state, offer, limit)
+    capacity_refusal(state, offer, limit)
 }
 
-/// The refusal of a call that lost its place in a full queue.
-pub fn refuse_displaced(
+/// Returns the refusal of a call that lost its place in a full queue.
+pub fn displaced_refusal(
     state: &reducer::EngineState,
     offer: &wire::CallOffer,
 ) -> wire::CallRefusal {
-    let limit = limit(
+    let limit = call_limit(
         entry::EntryKind::Service,
         &offer.service,
         wire::LimitField::Queue,
     );
-    refuse_capacity(state, offer, limit)
+    capacity_refusal(state, offer, limit)
 }
 
-pub(super) fn refuse_capacity(
+/// Returns the refusal of a call for which the target has no slot or place in the queue.
+pub(super) fn capacity_refusal(
     state: &reducer::EngineState,
     offer: &wire::CallOffer,
     limit: wire::CallLimit,
 ) -> wire::CallRefusal {
     let slots = admission::slots(state, &offer.target);
     let target = state.admission.targets.get(&offer.target);
-    let drained = target.map_or(Duration::ZERO, |target| target.time_to_drain(slots));
+    let drain_time = target.map_or(Duration::ZERO, |target| target.time_to_drain(slots));
     let code = code::ResultCode::CapacityExceeded;
-    refuse(state, offer, code, limit, drained)
+    target_refusal(state, offer, code, limit, drain_time)
 }
 
-/// The refusal of a call that another target may answer sooner, or that would wait for longer than
-/// its answer is of full worth: it is told at once, when it can still be of use elsewhere.
-pub(super) fn refuse_late(
+/// Returns the refusal of a call that another target may answer sooner, or that could not be
+/// answered within its target latency. It is sent without delay, while another target may still
+/// answer in time.
+pub(super) fn latency_refusal(
     state: &reducer::EngineState,
     offer: &wire::CallOffer,
-    room_in: Duration,
+    retry_delay: Duration,
 ) -> wire::CallRefusal {
     let limit = route_limit(offer, wire::LimitField::TargetLatency);
     let code = code::ResultCode::LatencyUnreachable;
-    refuse(state, offer, code, limit, room_in)
+    target_refusal(state, offer, code, limit, retry_delay)
 }
 
-pub(super) fn refuse_unreachable(
+/// Returns the refusal of a call that could not be finished by its deadline.
+pub(super) fn deadline_refusal(
     state: &reducer::EngineState,
     offer: &wire::CallOffer,
     wait: Duration,
 ) -> wire::CallRefusal {
     let limit = route_limit(offer, wire::LimitField::Deadline);
     let code = code::ResultCode::DeadlineUnreachable;
-    refuse(state, offer, code, limit, wait)
+    target_refusal(state, offer, code, limit, wait)
 }
 
-/// A refusal that another target may not have, with the time until there is room.
-fn refuse(
+/// Returns a refusal that allows attempts at other targets, with the time after which to retry.
+fn target_refusal(
     state: &reducer::EngineState,
     offer: &wire::CallOffer,
     code: code::ResultCode,
     limit: wire::CallLimit,
-    room_in: Duration,
+    retry_delay: Duration,
 ) -> wire::CallRefusal {
     let refusal = wire::CallRefusal::not_run(code)
         .elsewhere()
-        .by_limit(limit, whole_millis(room_in));
+        .by_limit(limit, nonzero_millis(retry_delay));
     with_load(state, offer, refusal)
 }
 
 fn route_limit(offer: &wire::CallOffer, field: wire::LimitField) -> wire::CallLimit {
-    limit(entry::EntryKind::Route, &offer.route, field)
+    call_limit(entry::EntryKind::Route, &offer.route, field)
 }
 
+/// Adds the target's load report to a refusal.
 pub(super) fn with_load(
     state: &reducer::EngineState,
     offer: &wire::CallOffer,
@@ -113,7 +117,7 @@
     }
 }
 
-pub(super) fn limit(
+pub(super) fn call_limit(
     kind: entry::EntryKind,
     name: &ids::EntryName,
     field: wire::LimitField,
@@ -125,7 +129,7 @@
     }
 }
 
-/// A time in milliseconds, at least one: zero means that it is not known.
-pub(super) fn whole_millis(time: Duration) -> u32 {
+/// Returns a time in whole milliseconds, at least one, since zero stands for an unknown time.
+pub(super) fn nonzero_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX).max(1)
 }
--- a/crates/engine/src/admission/reserve.rs
+++ b/crates/engine/src/admission/reserve.rs
@@ -1,63 +1,71 @@
-//! Slots that are kept free for calls of better classes.
+//! Slots reserved for calls of higher-priority classes.
 //!
-//! A run is never interrupted, so a call of a better class waits until a slot frees, also where it
-//! is the first in the queue. That is nothing to a call that has seconds, and much to one that has
-//! a tenth of one: a short call made on behalf of a long one, which holds a slot elsewhere
-//! meanwhile. So where the time until a slot frees is a good part of what such calls have, as many
-//! slots as they use on average are given to nobody else.
+//! A run is never preempted, so even the first call in the queue waits until a slot is released.
+//! That delay is negligible for a call with a target latency of seconds, but not for one with a
+//! tenth of a second, such as a short call made on behalf of a long one that holds a slot elsewhere
+//! meanwhile. If the time until a slot is released is a considerable part of the target latency of
+//! higher-priority calls, as many slots as they use on average are withheld from the lowest-priority
+//! class.
 
 use std::time::Duration;
 
 use hazeltiller_units::time;
 
-/// Time over which the use by better classes is averaged.
-const AVERAGE_TIME: Duration = Duration::from_secs(2);
-/// Part of a call's target latency that the wait for a slot may take before slots are reserved.
-const BEARABLE_SHARE: f64 = 0.1;
-/// Largest part of the slots that is reserved: most of the work is still everybody's.
-const LARGEST_PART: u32 = 3;
-/// Part of a new call's target latency in the smoothed one.
-const SMOOTHING: f64 = 0.05;
+/// Time constant of the average of the slot usage by higher-priority classes.
+const DECAY_TIME: Duration = Duration::from_secs(2);
+/// Share of the target latency that the wait for a slot may take before slots are reserved.
+const MAX_WAIT_SHARE: f64 = 0.1;
+/// Divisor of the slots that bounds the reserve, so that most slots stay open to all classes.
+const RESERVE_DIVISOR: u32 = 3;
+/// Weight of a new sample in the smoothed target latency.
+const LATENCY_SMOOTHING: f64 = 0.05;
 
-/// What calls of better classes use of a target.
+/// Slot usage of a target by higher-priority classes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct UrgentUse {
-    /// Slot-seconds, fading.
+pub struct PriorityUsage {
+    /// Exponentially decayed slot time, in seconds.
     slot_s: f64,
-    at: time::MonotonicTime,
+    /// When the slot time was last updated.
+    updated_at: time::MonotonicTime,
     /// Smoothed target latency, in seconds.
     latency_s: f64,
 }
 
-impl UrgentUse {
-    /// Takes a run of a better class that ended.
-    pub fn note_run(&mut self, took: Duration, latency: Duration, now: time::MonotonicTime) {
-        self.slot_s = self.faded(now) + took.as_secs_f64();
-        self.at = now;
+impl PriorityUsage {
+    /// Records a run of a higher-priority class that ended.
+    pub fn record_run(&mut self, elapsed: Duration, latency: Duration, now: time::MonotonicTime) {
+        self.slot_s = self.decayed_slot_s(now) + elapsed.as_secs_f64();
+        self.updated_at = now;
         let latency_s = latency.as_secs_f64();
         if self.latency_s > 0.0 {
-            self.latency_s += SMOOTHING * (latency_s - self.latency_s);
+            self.latency_s += LATENCY_SMOOTHING * (latency_s - self.latency_s);
         } else {
             self.latency_s = latency_s;
         }
     }
 
-    /// Slots that no other class gets, where one frees every `turnover`.
-    pub fn reserved(&self, slots: u32, turnover: Duration, now: time::MonotonicTime) -> u32 {
-        if turnover.as_secs_f64() <= self.latency_s * BEARABLE_SHARE {
+    /// Returns the number of reserved slots, where a slot is released every `release_interval` on
+    /// average.
+    pub fn reserved(
+        &self,
+        slots: u32,
+        release_interval: Duration,
+        now: time::MonotonicTime,
+    ) -> u32 {
+        if release_interval.as_secs_f64() <= self.latency_s * MAX_WAIT_SHARE {
             return 0;
         }
-        self.used(now).min(slots / LARGEST_PART)
+        self.used(now).min(slots / RESERVE_DIVISOR)
     }
 
-    /// Slots that better classes use on average.
+    /// Returns the number of slots that higher-priority classes use on average.
     pub fn used(&self, now: time::MonotonicTime) -> u32 {
-        let used = self.faded(now) / AVERAGE_TIME.as_secs_f64();
+        let used = self.decayed_slot_s(now) / DECAY_TIME.as_secs_f64();
         used.round() as u32
     }
 
-    fn faded(&self, now: time::MonotonicTime) -> f64 {
-        let ages = now.since(self.at).as_secs_f64() / AVERAGE_TIME.as_secs_f64();
-        self.slot_s * (-ages).exp()
+    fn decayed_slot_s(&self, now: time::MonotonicTime) -> f64 {
+        let time_constants = now.since(self.updated_at).as_secs_f64() / DECAY_TIME.as_secs_f64();
+        self.slot_s * (-time_constants).exp()
     }
 }
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -11,7 +11,7 @@
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     for call in admission::expire(state) {
         if let Some(record) = state.calls.owner.swap_remove(&call) {
-            let refusal = admission::refuse_waited(state, &record.offer, record.deadline);
+            let refusal = admission::expired_refusal(state, &record.offer, record.deadline);
             output.refuse(call, refusal);
         }
     }
@@ -36,7 +36,7 @@
     }
     let deadline = state.now + Duration::from_millis(u64::from(offer.deadline_left_ms));
     let answer = admission::admit(state, call, &offer);
-    if let admission::AdmissionAnswer::Refuse(refusal) = answer {
+    if let admission::AdmissionDecision::Refuse(refusal) = answer {
         return output.refuse(call, refusal);
     }
     let record = calls::OwnerCall {
@@ -47,13 +47,13 @@
     };
     state.calls.owner.insert(call, record);
     match answer {
-        admission::AdmissionAnswer::Run => start_run(state, call, output),
-        admission::AdmissionAnswer::Wait { displaced } => {
+        admission::AdmissionDecision::Run => start_run(state, call, output),
+        admission::AdmissionDecision::Wait { displaced } => {
             if let Some(displaced) = displaced {
                 refuse_displaced(state, displaced, output);
             }
         }
-        admission::AdmissionAnswer::Refuse(_) => unreachable!("refusals were handled"),
+        admission::AdmissionDecision::Refuse(_) => unreachable!("refusals were handled"),
     }
 }
 
@@ -78,7 +78,7 @@
     output: &mut event::ReducerOutput,
 ) {
     evict(state, target, output);
-    admission::end_life(state, target);
+    admission::end_incarnation(state, target);
     health::end_life(state, target);
 }
 
@@ -97,7 +97,7 @@
     output: &mut event::ReducerOutput,
 ) {
     if let Some(record) = state.calls.owner.swap_remove(&call) {
-        let refusal = admission::refuse_displaced(state, &record.offer);
+        let refusal = admission::displaced_refusal(state, &record.offer);
         output.refuse(call, refusal);
     }
 }
@@ -108,7 +108,7 @@
     target: &ids::TargetName,
     output: &mut event::ReducerOutput,
 ) {
-    while let Some(next) = admission::next(state, target) {
+    while let Some(next) = admission::start_next(state, target) {
         start_run(state, next, output);
     }
 }
@@ -154,7 +154,7 @@
     };
     let offer = &record.offer;
     let Some(started) = record.started else {
-        return admission::forget(state, &offer.target, call);
+        return admission::remove_queued(state, &offer.target, call);
     };
     let is_same_incarnation = record.incarnation == incarnation_of(state, &offer.target);
     let is_known = state.membership.targets.contains_key(&offer.target);
--- a/crates/engine/tests/admission.rs
+++ b/crates/engine/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: slots, queues, ranks, shares, weights, rates, deadlines.
+//! Admission control: slots, queues, class ranks, guaranteed shares, owner weights, rate limits and
+//! deadlines.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 use serde_json::{Value, json};
 
 const TARGET: &str = "registru-1";
-const MS: Duration = Duration::from_millis(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
 
 fn entries(guaranteed_share: f64) -> Value {
     json!([
@@ -30,23 +31,23 @@
     ])
 }
 
-/// A node with one target, and what became of each call offered to it.
-struct Desk {
+/// An owner node with one target, and the outcome of each call offered to it.
+struct OwnerNode {
     node: node::NodeReducer,
-    last: u64,
+    last_call: u64,
     offers: IndexMap<ids::CallId, wire::CallOffer>,
     running: Vec<ids::CallId>,
     refusals: IndexMap<ids::CallId, wire::CallRefusal>,
     started: Vec<ids::CallId>,
 }
 
-impl Desk {
+impl OwnerNode {
     fn new(slots: u32, guaranteed_share: f64) -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries(guaranteed_share));
         node.announce(node::target(TARGET, "registru", slots));
         Self {
             node,
-            last: 0,
+            last_call: 0,
             offers: IndexMap::new(),
             running: Vec::new(),
             refusals: IndexMap::new(),
@@ -55,27 +56,27 @@
     }
 
     fn offer(&mut self, offer: wire::CallOffer) -> ids::CallId {
-        self.last += 1;
-        let call = ids::CallId(self.last);
+        self.last_call += 1;
+        let call = ids::CallId(self.last_call);
         self.offers.insert(call, offer.clone());
         let effects = self.node.call(calls::CallEvent::Offered { call, offer });
-        self.note(effects);
+        self.record_effects(effects);
         call
     }
 
-    fn offer_of(&mut self, owner: &str, class: &str) -> ids::CallId {
+    fn offer_for(&mut self, owner: &str, class: &str) -> ids::CallId {
         self.offer(node::offer(TARGET, owner, class))
     }
 
-    fn end_oldest(&mut self, took: Duration, status: u16) {
-        self.node.now = self.node.now + took;
+    fn end_oldest_run(&mut self, elapsed: Duration, status: u16) {
+        self.node.now = self.node.now + elapsed;
         let call = self.running.remove(0);
         let result = calls::RunResult::Done { status };
         let effects = self.node.call(calls::CallEvent::RunEnded { call, result });
-        self.note(effects);
+        self.record_effects(effects);
     }
 
-    fn note(&mut self, effects: Vec<calls::CallEffect>) {
+    fn record_effects(&mut self, effects: Vec<calls::CallEffect>) {
         for effect in effects {
             match effect {
                 calls::CallEffect::Run(call, _) => {
@@ -85,18 +86,18 @@
                 calls::CallEffect::Refuse(call, refusal) => {
                     self.refusals.insert(call, refusal);
                 }
-                other => panic!("an owner node makes no {other:?}"),
+                other => panic!("unexpected effect at an owner node: {other:?}"),
             }
         }
     }
 
-    /// Calls of an owner or a class that started.
-    fn count(&self, name: &str) -> f64 {
-        let is_of = |call: &&ids::CallId| {
+    /// Returns the number of started calls of an owner or a class.
+    fn count_started(&self, name: &str) -> f64 {
+        let matches_name = |call: &&ids::CallId| {
             let offer = &self.offers[*call];
             offer.owner.as_str() == name || offer.class.as_str() == name
         };
-        self.started.iter().filter(is_of).count() as f64
+        self.started.iter().filter(matches_name).count() as f64
     }
 
     fn limit(&self, call: ids::CallId) -> String {
@@ -106,162 +107,198 @@
         limit.expect("a refusal names its limit").to_string()
     }
 
-    /// Offers one call of each pair before each end, so that more comes than can run.
+    /// Offers one call of each pair of owner and class for each run that ends, so that more calls
+    /// arrive than can run.
     fn overload(&mut self, pairs: &[(&str, &str)], rounds: u32) {
         for _ in 0..rounds {
             for (owner, class) in pairs {
-                self.offer_of(owner, class);
+                self.offer_for(owner, class);
             }
-            self.end_oldest(MS, 200);
+            self.end_oldest_run(MILLISECOND, 200);
         }
     }
 }
 
 #[test]
 fn slots_counted() {
-    let mut desk = Desk::new(2, 0.0);
+    let mut owner_node = OwnerNode::new(2, 0.0);
     for _ in 0..5 {
-        desk.offer_of("registru", "counter");
+        owner_node.offer_for("registru", "counter");
     }
-    assert_eq!(desk.running.len(), 2);
-    desk.end_oldest(MS, 200);
-    assert_eq!(desk.running.len(), 2, "a freed slot goes to one that waits");
+    assert_eq!(owner_node.running.len(), 2);
+    owner_node.end_oldest_run(MILLISECOND, 200);
+    assert_eq!(
+        owner_node.running.len(),
+        2,
+        "a released slot goes to a queued call"
+    );
 }
 
 #[test]
 fn rank_first() {
-    let mut desk = Desk::new(2, 0.0);
-    desk.overload(&[("registru", "batch"), ("rally", "counter")], 200);
-    assert!(desk.count("counter") >= 195.0, "{}", desk.count("counter"));
-    let is_counter = |call: &&ids::CallId| desk.offers[*call].class.as_str() == "counter";
-    let refused = desk.refusals.keys().filter(is_counter).count();
-    assert_eq!(refused, 0, "the top class is not refused for others");
+    let mut owner_node = OwnerNode::new(2, 0.0);
+    owner_node.overload(&[("registru", "batch"), ("rally", "counter")], 200);
+    assert!(
+        owner_node.count_started("counter") >= 195.0,
+        "{}",
+        owner_node.count_started("counter")
+    );
+    let is_counter = |call: &&ids::CallId| owner_node.offers[*call].class.as_str() == "counter";
+    let refused = owner_node.refusals.keys().filter(is_counter).count();
+    assert_eq!(
+        refused, 0,
+        "calls of the highest-priority class are not refused"
+    );
 }
 
 #[test]
 fn share_kept() {
-    let mut desk = Desk::new(2, 0.25);
+    let mut owner_node = OwnerNode::new(2, 0.25);
     let pairs = [
         ("registru", "counter"),
         ("registru", "counter"),
         ("rally", "batch"),
     ];
-    desk.overload(&pairs, 400);
-    let batch = desk.count("batch");
-    assert!((90.0..=125.0).contains(&batch), "a quarter of 400: {batch}");
+    owner_node.overload(&pairs, 400);
+    let batch = owner_node.count_started("batch");
+    assert!(
+        (90.0..=125.0).contains(&batch),
+        "guaranteed share of a quarter of 400: {batch}"
+    );
 }
 
 #[test]
 fn weights_shared() {
-    let mut desk = Desk::new(2, 0.0);
-    desk.overload(&[("registru", "counter"), ("rally", "counter")], 400);
-    let ratio = desk.count("registru") / desk.count("rally");
+    let mut owner_node = OwnerNode::new(2, 0.0);
+    owner_node.overload(&[("registru", "counter"), ("rally", "counter")], 400);
+    let ratio = owner_node.count_started("registru") / owner_node.count_started("rally");
     assert!((2.5..=3.5).contains(&ratio), "weights 3 and 1: {ratio}");
 }
 
 #[test]
 fn cost_counted() {
-    let mut desk = Desk::new(1, 0.0);
+    let mut owner_node = OwnerNode::new(1, 0.0);
     for _ in 0..400 {
-        desk.offer_of("rally", "counter");
-        let mut dear = node::offer(TARGET, "registru", "counter");
-        dear.cost = 9;
-        desk.offer(dear);
-        desk.end_oldest(MS, 200);
+        owner_node.offer_for("rally", "counter");
+        let mut expensive = node::offer(TARGET, "registru", "counter");
+        expensive.cost = 9;
+        owner_node.offer(expensive);
+        owner_node.end_oldest_run(MILLISECOND, 200);
     }
-    let ratio = desk.count("rally") / desk.count("registru");
+    let ratio = owner_node.count_started("rally") / owner_node.count_started("registru");
     assert!((2.5..=3.5).contains(&ratio), "9 units at weight 3: {ratio}");
 }
 
 #[test]
 fn refusal_names_limit() {
-    let mut desk = Desk::new(1, 0.0);
+    let mut owner_node = OwnerNode::new(1, 0.0);
     let calls: Vec<_> = (0..10)
-        .map(|_| desk.offer_of("registru", "counter"))
+        .map(|_| owner_node.offer_for("registru", "counter"))
         .collect();
-    assert_eq!(desk.limit(calls[9]), "service registru limits.queue");
-    let refusal = &desk.refusals[&calls[9]];
+    assert_eq!(owner_node.limit(calls[9]), "service registru limits.queue");
+    let refusal = &owner_node.refusals[&calls[9]];
     assert!(refusal.elsewhere && refusal.retry_after_ms > 0);
     assert_eq!(refusal.load.map(|load| load.queued), Some(8));
-    let late = desk.node.pass(Duration::from_millis(501));
-    desk.note(late);
-    assert_eq!(desk.limit(calls[1]), "class counter limits.queue_ms");
-    assert_eq!(desk.refusals.len(), 9, "one runs, nine were refused");
+    let late = owner_node.node.pass(Duration::from_millis(501));
+    owner_node.record_effects(late);
+    assert_eq!(owner_node.limit(calls[1]), "class counter limits.queue_ms");
+    assert_eq!(
+        owner_node.refusals.len(),
+        9,
+        "one call runs, nine are refused"
+    );
 }
 
 #[test]
-fn late_refused_early() {
-    let mut desk = Desk::new(1, 0.0);
-    desk.offer_of("registru", "counter");
-    desk.end_oldest(Duration::from_millis(100), 200);
-    desk.offer_of("registru", "counter");
-    let mut hurried = node::offer(TARGET, "registru", "counter");
-    hurried.deadline_left_ms = 150;
-    let call = desk.offer(hurried);
-    assert_eq!(desk.limit(call), "route lookup limits.deadline_ms");
-    let code = desk.refusals[&call].code;
+fn late_calls_refused() {
+    let mut owner_node = OwnerNode::new(1, 0.0);
+    owner_node.offer_for("registru", "counter");
+    owner_node.end_oldest_run(Duration::from_millis(100), 200);
+    owner_node.offer_for("registru", "counter");
+    let mut urgent = node::offer(TARGET, "registru", "counter");
+    urgent.deadline_left_ms = 150;
+    let call = owner_node.offer(urgent);
+    assert_eq!(owner_node.limit(call), "route lookup limits.deadline_ms");
+    let code = owner_node.refusals[&call].code;
     assert_eq!(code, code::ResultCode::DeadlineUnreachable);
     let waiting: Vec<_> = (0..6)
-        .map(|_| desk.offer_of("registru", "counter"))
+        .map(|_| owner_node.offer_for("registru", "counter"))
         .collect();
-    assert_eq!(desk.limit(waiting[5]), "class counter limits.queue_ms");
+    assert_eq!(
+        owner_node.limit(waiting[5]),
+        "class counter limits.queue_ms"
+    );
 }
 
 #[test]
-fn rate_by_part() {
-    let mut desk = Desk::new(10, 0.0);
+fn rate_by_share() {
+    let mut owner_node = OwnerNode::new(10, 0.0);
     let other = node::identity("node-2", "sibiu-a", "ro-centru");
     let elsewhere = vec![node::target("registru-2", "registru", 10)];
-    desk.node.hear(&other, 1, elsewhere);
-    // 20 calls a second against 10 for the fleet, for 10 s each.
+    owner_node.node.hear(&other, 1, elsewhere);
+    // 20 calls a second against a limit of 10 for all nodes, for 10 s each with the node owning
+    // half and all of the service's slots.
     let mut passed = [0, 0];
     for passed in &mut passed {
         for _ in 0..200 {
-            let call = desk.offer_of("metered", "counter");
-            if desk.refusals.contains_key(&call) {
-                assert_eq!(desk.limit(call), "owner metered limits.rate");
+            let call = owner_node.offer_for("metered", "counter");
+            if owner_node.refusals.contains_key(&call) {
+                assert_eq!(owner_node.limit(call), "owner metered limits.rate");
             } else {
                 *passed += 1;
-                desk.end_oldest(Duration::ZERO, 200);
+                owner_node.end_oldest_run(Duration::ZERO, 200);
             }
-            desk.node.pass(Duration::from_millis(50));
+            owner_node.node.pass(Duration::from_millis(50));
         }
-        desk.node.hear(&other, 2, Vec::new());
+        owner_node.node.hear(&other, 2, Vec::new());
     }
-    assert!((54..=57).contains(&passed[0]), "half of it: {passed:?}");
-    assert!((99..=102).contains(&passed[1]), "the whole: {passed:?}");
+    assert!(
+        (54..=57).contains(&passed[0]),
+        "half of the rate: {passed:?}"
+    );
+    assert!(
+        (99..=102).contains(&passed[1]),
+        "the whole rate: {passed:?}"
+    );
 }
 
 #[test]
 fn draining_refuses() {
-    let mut desk = Desk::new(2, 0.0);
+    let mut owner_node = OwnerNode::new(2, 0.0);
     let mut record = node::target(TARGET, "registru", 2);
     record.state = membership::TargetState::Draining;
-    desk.node.announce(record);
-    let call = desk.offer_of("registru", "counter");
-    assert_eq!(desk.refusals[&call].code, code::ResultCode::TargetMissing);
-    assert!(desk.refusals[&call].elsewhere);
+    owner_node.node.announce(record);
+    let call = owner_node.offer_for("registru", "counter");
+    assert_eq!(
+        owner_node.refusals[&call].code,
+        code::ResultCode::TargetMissing
+    );
+    assert!(owner_node.refusals[&call].elsewhere);
 }
 
 #[test]
-fn shedding_gets_less() {
-    let mut desk = Desk::new(10, 0.0);
+fn shedding_reduces_slots() {
+    let mut owner_node = OwnerNode::new(10, 0.0);
     for _ in 0..10 {
-        desk.offer_of("registru", "counter");
+        owner_node.offer_for("registru", "counter");
     }
     for _ in 0..10 {
-        desk.end_oldest(MS, 503);
+        owner_node.end_oldest_run(MILLISECOND, 503);
     }
     for _ in 0..5 {
-        desk.offer_of("registru", "counter");
+        owner_node.offer_for("registru", "counter");
     }
-    assert_eq!(desk.running.len(), 1, "all but the last slot was shed");
+    assert_eq!(owner_node.running.len(), 1, "slots shrink to one");
     for _ in 0..200 {
-        desk.end_oldest(MS, 200);
-        desk.offer_of("registru", "counter");
-        desk.offer_of("registru", "counter");
+        owner_node.end_oldest_run(MILLISECOND, 200);
+        owner_node.offer_for("registru", "counter");
+        owner_node.offer_for("registru", "counter");
     }
-    assert_eq!(desk.running.len(), 10, "good answers bring the slots back");
+    assert_eq!(
+        owner_node.running.len(),
+        10,
+        "successful runs restore the slots"
+    );
 }
 
 proptest! {
@@ -272,10 +309,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes and ends: slots are kept to, and each call ends in one way.
+    /// For any sequence of arrivals and ends, no more calls run than there are slots, and each call
+    /// either starts or is refused, once.
     #[test]
     fn ends_once(steps in prop::collection::vec((0..4_u8, 0..3_usize, 1..6_u32), 1..200)) {
-        let mut desk = Desk::new(3, 0.2);
+        let mut owner_node = OwnerNode::new(3, 0.2);
         let owners = ["registru", "rally", "metered"];
         for (step, owner, cost) in steps {
             match step {
@@ -283,21 +321,21 @@
                     let class = if step == 0 { "counter" } else { "batch" };
                     let mut offer = node::offer(TARGET, owners[owner], class);
                     offer.cost = cost;
-                    desk.offer(offer);
+                    owner_node.offer(offer);
                 }
-                2 if !desk.running.is_empty() => desk.end_oldest(MS * cost, 200),
+                2 if !owner_node.running.is_empty() => owner_node.end_oldest_run(MILLISECOND * cost, 200),
                 _ => {
-                    let effects = desk.node.pass(MS * 20 * cost);
-                    desk.note(effects);
+                    let effects = owner_node.node.pass(MILLISECOND * 20 * cost);
+                    owner_node.record_effects(effects);
                 }
             }
-            prop_assert!(desk.running.len() <= 3);
+            prop_assert!(owner_node.running.len() <= 3);
         }
-        while !desk.running.is_empty() {
-            desk.end_oldest(MS, 200);
+        while !owner_node.running.is_empty() {
+            owner_node.end_oldest_run(MILLISECOND, 200);
         }
-        let ended = desk.started.len() + desk.refusals.len();
-        prop_assert_eq!(ended as u64, desk.last);
-        prop_assert!(desk.node.state.calls.owner.is_empty());
+        let ended = owner_node.started.len() + owner_node.refusals.len();
+        prop_assert_eq!(ended as u64, owner_node.last_call);
+        prop_assert!(owner_node.node.state.calls.owner.is_empty());
     }
 }
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -1,27 +1,36 @@
-//! Overload that must end with its load: callers that come back, runs that call other services.
+//! Overload must end when the load falls, although callers retry and runs call other services.
 
 use std::{sync::LazyLock, time::Duration};
 
 use hazeltiller_testkit::model;
 use serde_json::{Value, json};
 
-const AIM: Duration = Duration::from_millis(600);
-const CALM: Duration = Duration::from_secs(10);
-const SURGE: Duration = Duration::from_secs(5);
-/// Time after the surge in which goodput must have come back.
-const RETURN: Duration = Duration::from_secs(3);
+/// Target latency of lookups.
+const TARGET_LATENCY: Duration = Duration::from_millis(600);
+/// Duration of the phases at normal load.
+const NORMAL_TIME: Duration = Duration::from_secs(10);
+/// Duration of the overload phase.
+const SURGE_TIME: Duration = Duration::from_secs(5);
+/// Time after the surge within which goodput must recover.
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// Lookups go to `registru` and call `arhiva` twice each; issues go to `arhiva` in the class of those calls.
+/// Returns entries in which lookups go to `registru` and call `arhiva` twice each, and issues go to
+/// `arhiva` in the class of those inner calls.
 fn entries() -> Value {
     let service = |name: &str| {
         json!({"kind": "service", "name": name, "owner": "registru", "class": "urgent",
                "limits": {"queue": 200}})
     };
-    let route = |name: &str, class: &str, service: &str, cost: u32, aim_ms: u32, limit_ms: u32| {
+    let route = |name: &str,
+                 class: &str,
+                 service: &str,
+                 cost: u32,
+                 latency_ms: u32,
+                 deadline_ms: u32| {
         json!({"kind": "route", "name": name, "owner": "registru", "class": class, "service": service,
                "match": {"path_prefix": format!("/{name}/")}, "idempotent": true,
                "costs": [{"path_prefix": "/", "methods": ["GET"], "cost": cost}],
-               "target_latency_ms": aim_ms, "limits": {"deadline_ms": limit_ms}})
+               "target_latency_ms": latency_ms, "limits": {"deadline_ms": deadline_ms}})
     };
     json!([
         {"kind": "class", "name": "urgent", "owner": "registru", "class": "urgent", "rank": 1,
@@ -37,7 +46,8 @@
     ])
 }
 
-/// What callers send a second when the targets are about nine tenths loaded, times `load`.
+/// Returns the calls that callers send at `load` times the rate that loads the targets to about
+/// nine tenths.
 fn kinds(load: f64, moment: model::CallMoment) -> Vec<model::CallKind> {
     let habit = model::CallerHabit {
         returns: 2,
@@ -84,27 +94,38 @@
     })
 }
 
-/// What became of each kind of calls before, in and after a surge.
-struct Surge {
+/// Outcome of each kind of calls before, during and after a surge.
+struct SurgeResult {
     seed: u64,
     before: Vec<model::KindCount>,
     surge: Vec<model::KindCount>,
     after: Vec<model::KindCount>,
 }
 
-impl Surge {
+impl SurgeResult {
     fn play(seed: u64) -> Self {
-        Self::play_on(seed, model(seed), model::CallMoment::First, [SURGE, RETURN])
+        Self::play_on(
+            seed,
+            model(seed),
+            model::CallMoment::First,
+            [SURGE_TIME, RECOVERY_TIME],
+        )
     }
 
-    /// The same for longer, on nodes with little processor time, by runs that call others at their end.
-    fn play_narrow(seed: u64) -> Self {
+    /// Plays a surge on nodes with little processor time, with runs that make their inner calls at
+    /// their end, and with a longer surge and settling time.
+    fn play_on_slow_nodes(seed: u64) -> Self {
         let model = model(seed).with_processors(MESSAGE_TIME);
-        Self::play_on(seed, model, model::CallMoment::Last, [CALM, SURGE])
+        Self::play_on(
+            seed,
+            model,
+            model::CallMoment::Last,
+            [NORMAL_TIME, SURGE_TIME],
+        )
     }
 
-    /// Has load rise to one and a half times what can be served and fall back; what comes within `settling`
-    /// after that is not counted.
+    /// Plays a surge to one and a half times the capacity for `surge`, and the return to normal
+    /// load. Calls within `settling` after the surge are not counted.
     fn play_on(
         seed: u64,
         mut model: model::CallModel,
@@ -112,25 +133,25 @@
         [surge, settling]: [Duration; 2],
     ) -> Self {
         let phases = vec![
-            (kinds(1.0, moment), CALM),
+            (kinds(1.0, moment), NORMAL_TIME),
             (kinds(1.6, moment), surge),
             (kinds(1.0, moment), settling),
-            (kinds(1.0, moment), CALM),
+            (kinds(1.0, moment), NORMAL_TIME),
         ];
         let mut counts = model.run_phases(phases).into_iter();
         let mut next = || counts.next().expect("four phases were played");
         let (before, surge, _settling, after) = (next(), next(), next(), next());
-        let played = Self {
+        let result = Self {
             seed,
             before,
             surge,
             after,
         };
-        println!("{}", played.figures());
-        played
+        println!("{}", result.summary());
+        result
     }
 
-    /// Offers in the surge for each call that came to an ingress node.
+    /// Returns the offers for each call that arrived at an ingress node during the surge.
     fn offers_per_call(&self) -> f64 {
         let sum = |part: fn(&model::KindCount) -> u64| self.surge.iter().map(part).sum::<u64>();
         sum(|count| count.tries) as f64 / sum(|count| count.arrivals) as f64
@@ -140,13 +161,13 @@
         Duration::from_micros(self.surge[0].refusal_quantile(0.5))
     }
 
-    fn figures(&self) -> String {
+    fn summary(&self) -> String {
         let [before, surge, after] = [&self.before, &self.surge, &self.after]
             .map(|counts| format!("{:.3} {:.3}", in_time(&counts[0]), in_time(&counts[1])));
         let lookups = &self.surge[0];
         format!(
-            "seed {}: lookups and issues in time {before}, {surge}, {after}; in the surge {:.2} offers a call, \
-             refused after {:?}, runs wasted {} of {}, {:.3} of slot time",
+            "seed {}: lookups and issues in time {before}, {surge}, {after}; during the surge {:.2} offers \
+             per call, refused after {:?}, runs wasted {} of {}, {:.3} of slot time",
             self.seed,
             self.offers_per_call(),
             self.refusal_time(),
@@ -157,95 +178,97 @@
     }
 }
 
-/// A surge for each seed.
-static SURGES: LazyLock<Vec<Surge>> = LazyLock::new(|| (1..=3).map(Surge::play).collect());
+/// Surges with ample processor time, one for each seed.
+static SURGES: LazyLock<Vec<SurgeResult>> =
+    LazyLock::new(|| (1..=3).map(SurgeResult::play).collect());
 
-/// Share of requests that are answered within their aim.
+/// Returns the share of requests that are answered within the target latency of lookups.
 fn in_time(count: &model::KindCount) -> f64 {
-    count.within(AIM) as f64 / count.sent as f64
+    count.within(TARGET_LATENCY) as f64 / count.sent as f64
 }
 
-/// Three seconds after a surge as many are answered in time as before it, but for a tenth.
+/// Three seconds after a surge, at least nine tenths of the goodput before it are restored.
 #[test]
 fn ends_with_load() {
-    for played in &*SURGES {
-        let (before, after) = (in_time(&played.before[0]), in_time(&played.after[0]));
-        assert!(after >= 0.9 * before, "{}", played.figures());
+    for result in &*SURGES {
+        let (before, after) = (in_time(&result.before[0]), in_time(&result.after[0]));
+        assert!(after >= 0.9 * before, "{}", result.summary());
     }
 }
 
-/// A call that a run makes is turned away with the run that waits for it, so most runs come to something also
-/// in a surge.
+/// An inner call is refused together with the run that waits for it, so at least half of the lookup
+/// runs produce a used result even during a surge.
 #[test]
 fn runs_not_wasted() {
-    for played in &*SURGES {
-        let surge = &played.surge[0];
-        assert!(surge.wasted * 2 <= surge.runs, "{}", played.figures());
+    for result in &*SURGES {
+        let surge = &result.surge[0];
+        assert!(surge.wasted * 2 <= surge.runs, "{}", result.summary());
     }
 }
 
-/// Time that a node of a tenth of a core takes for a message.
+/// Time that a node with a tenth of a core takes to process a message.
 const MESSAGE_TIME: Duration = Duration::from_millis(4);
-/// Most offers for each call that comes: refused ones are hardly offered again.
-const MOST_OFFERS: f64 = 1.5;
-/// Largest part of the slot time that may go to runs that come to nothing.
-const MOST_WASTED: f64 = 0.1;
-/// Longest time to a refusal that leaves a caller most of its time.
-const REFUSAL_TIME: Duration = Duration::from_millis(75);
+/// Maximum offers for each arriving call: refused calls are rarely offered again.
+const MAX_OFFERS: f64 = 1.5;
+/// Maximum share of slot time that may be spent on runs whose result is not used.
+const MAX_WASTED_SHARE: f64 = 0.1;
+/// Maximum median time to a refusal, which leaves a caller most of its time.
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(75);
 
-/// A surge on narrow nodes for each seed.
-static NARROW_SURGES: LazyLock<Vec<Surge>> =
-    LazyLock::new(|| (1..=3).map(Surge::play_narrow).collect());
+/// Surges on nodes with little processor time, one for each seed.
+static SLOW_NODE_SURGES: LazyLock<Vec<SurgeResult>> =
+    LazyLock::new(|| (1..=3).map(SurgeResult::play_on_slow_nodes).collect());
 
 #[test]
 fn overload_not_sustained() {
-    for played in &*NARROW_SURGES {
-        let (before, after) = (in_time(&played.before[0]), in_time(&played.after[0]));
-        assert!(after >= 0.9 * before, "{}", played.figures());
+    for result in &*SLOW_NODE_SURGES {
+        let (before, after) = (in_time(&result.before[0]), in_time(&result.after[0]));
+        assert!(after >= 0.9 * before, "{}", result.summary());
     }
 }
 
 #[test]
 fn offers_not_multiplied() {
-    for played in &*NARROW_SURGES {
+    for result in &*SLOW_NODE_SURGES {
         assert!(
-            played.offers_per_call() <= MOST_OFFERS,
+            result.offers_per_call() <= MAX_OFFERS,
             "{}",
-            played.figures()
+            result.summary()
         );
     }
 }
 
 #[test]
 fn refusals_not_slow() {
-    for played in &*NARROW_SURGES {
+    for result in &*SLOW_NODE_SURGES {
         assert!(
-            played.refusal_time() <= REFUSAL_TIME,
+            result.refusal_time() <= MAX_REFUSAL_TIME,
             "{}",
-            played.figures()
+            result.summary()
         );
     }
 }
 
-/// What lookups' runs used while more issues came than `arhiva` can take, which runs the calls of lookups too.
-fn lookups_beside_issues(seed: u64) -> model::KindCount {
+/// Returns the counts of lookups while issues overload `arhiva`, which also runs the inner calls of
+/// lookups.
+fn lookups_under_issue_overload(seed: u64) -> model::KindCount {
     let mut kinds = kinds(1.0, model::CallMoment::Last);
     kinds[1].rate *= 2.0;
     let mut model = model(seed).with_processors(MESSAGE_TIME);
-    let mut counts = model.run(&kinds, CALM);
+    let mut counts = model.run(&kinds, NORMAL_TIME);
     counts.swap_remove(0)
 }
 
-/// Slots are not held by runs that come to nothing because a call of theirs is refused.
+/// Little slot time is spent on runs that fail because an inner call is refused.
 #[test]
 fn slots_not_wasted() {
     for seed in 1..=3 {
-        let lookups = lookups_beside_issues(seed);
+        let lookups = lookups_under_issue_overload(seed);
         let wasted = lookups.wasted_share();
         println!(
-            "seed {seed}, beside issues: lookups in time {:.3}, slot time wasted {wasted:.3}",
+            "seed {seed}, issues overloaded: lookups in time {:.3}, slot time wasted {wasted:.3}",
             in_time(&lookups)
         );
-        assert!(wasted <= MOST_WASTED, "seed {seed}: {wasted:.3}");
+        assert!(wasted <= MAX_WASTED_SHARE, "seed {seed}: {wasted:.3}");
     }
 }
--- a/crates/engine/tests/urgency.rs
+++ b/crates/engine/tests/urgency.rs
@@ -1,4 +1,5 @@
-//! How long calls are kept: by target latency, by class, by what another target offers.
+//! How long calls may wait in a target's queue: limits by target latency, by class and by the wait
+//! at other targets.
 
 use std::time::Duration;
 
@@ -9,10 +10,11 @@
 use serde_json::{Value, json};
 
 const TARGET: &str = "registru-1";
-const RUN: Duration = Duration::from_millis(100);
+const RUN_TIME: Duration = Duration::from_millis(100);
 const SLOTS: u32 = 2;
 
-/// Lookups, which are served last, and issues before them; both go to one service.
+/// Returns entries in which lookups are of the lowest-priority class and issues of a higher one;
+/// both go to one service.
 fn entries(latency_ms: Option<u32>) -> Value {
     json!([
         {"kind": "class", "name": "urgent", "owner": "registru", "class": "urgent", "rank": 1,
@@ -31,29 +33,31 @@
     ])
 }
 
-struct Desk {
+struct OwnerNode {
     node: node::NodeReducer,
-    last: u64,
+    last_call: u64,
 }
 
-impl Desk {
-    /// A target whose runs are known to take 100 ms, with both slots in use.
+impl OwnerNode {
+    /// Returns a node whose target is known to take 100 ms for a run and has both slots in use.
     fn full() -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries(Some(300)));
         node.announce(node::target(TARGET, "registru", SLOTS));
-        // A route is looked up once, as the ingress side of the same node does.
+        // A lookup at the ingress side of the node builds its route table.
         node.call(calls::CallEvent::Arrived(node::arrival(1_000, "/")));
         node.call(calls::CallEvent::Finished(ids::CallId(1_000)));
-        let mut desk = Self { node, last: 0 };
+        let mut owner_node = Self { node, last_call: 0 };
         for route in ["lookup", "issue", "lookup", "issue", "lookup", "issue"] {
             let class = if route == "issue" { "urgent" } else { "common" };
-            let call = desk.offer(class, 5000).0;
-            desk.node.now = desk.node.now + RUN;
+            let call = owner_node.offer(class, 5000).0;
+            owner_node.node.now = owner_node.node.now + RUN_TIME;
             let result = calls::RunResult::Done { status: 200 };
-            desk.node.call(calls::CallEvent::RunEnded { call, result });
+            owner_node
+                .node
+                .call(calls::CallEvent::RunEnded { call, result });
         }
-        (0..SLOTS).for_each(|_| drop(desk.offer("common", 5000)));
-        desk
+        (0..SLOTS).for_each(|_| drop(owner_node.offer("common", 5000)));
+        owner_node
     }
 
     fn offer(&mut self, class: &str, patience_ms: u32) -> (ids::CallId, Option<wire::CallRefusal>) {
@@ -66,8 +70,8 @@
         patience_ms: u32,
         latency_left_ms: u32,
     ) -> (ids::CallId, Option<wire::CallRefusal>) {
-        self.last += 1;
-        let call = ids::CallId(self.last);
+        self.last_call += 1;
+        let call = ids::CallId(self.last_call);
         let route = if class == "urgent" { "issue" } else { "lookup" };
         let offer = wire::CallOffer {
             route: route.parse().expect("it is a name"),
@@ -87,36 +91,41 @@
 
 #[test]
 fn late_refused() {
-    let mut desk = Desk::full();
-    // Each one that waits adds 50 ms: 100 ms of a run fit behind 200 ms of waiting.
+    let mut owner_node = OwnerNode::full();
+    // Each queued call adds 50 ms of wait. Within the target latency of 300 ms, a run of 100 ms
+    // leaves 200 ms of wait.
     let answers: Vec<Option<wire::CallRefusal>> =
-        (0..6).map(|_| desk.offer("common", 5000).1).collect();
+        (0..6).map(|_| owner_node.offer("common", 5000).1).collect();
     let taken = answers.iter().filter(|answer| answer.is_none()).count();
     assert_eq!(taken, 4, "{answers:?}");
-    let refusal = answers[4].as_ref().expect("the fifth would be late");
+    let refusal = answers[4].as_ref().expect("the fifth call would be late");
     assert_eq!(refusal.code, code::ResultCode::LatencyUnreachable);
     assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
     assert!(refusal.elsewhere);
     assert_eq!(
         refusal.retry_after_ms, 50,
-        "then one less waits, and the run fits"
+        "after one release the call would fit"
     );
 }
 
 #[test]
 fn urgent_kept() {
-    let mut desk = Desk::full();
+    let mut owner_node = OwnerNode::full();
     let taken = (0..12)
-        .filter(|_| desk.offer("urgent", 5000).1.is_none())
+        .filter(|_| owner_node.offer("urgent", 5000).1.is_none())
         .count();
-    assert_eq!(taken, 12, "a better class is kept until its deadline");
-    let (_, refusal) = desk.offer("common", 5000);
-    let refusal = refusal.expect("behind all of them it would be late");
+    assert_eq!(
+        taken, 12,
+        "a higher-priority class waits until its deadline"
+    );
+    let (_, refusal) = owner_node.offer("common", 5000);
+    let refusal = refusal.expect("behind all of them the call would be late");
     assert_eq!(refusal.code, code::ResultCode::LatencyUnreachable);
 }
 
-/// Of two routes of one class one runs for 20 ms and often, the other for 1 s: a queue of the long ones is as
-/// long as they run, not as the mean of all runs says. Those that could not start in time are told at once.
+/// The wait is estimated from the run times of the queued calls' routes, not from the mean of all
+/// runs. With many runs of 20 ms and few of 1 s, the mean would admit far more long calls than can
+/// start in time; these must be refused without delay.
 #[test]
 fn long_runs_counted() {
     let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries(Some(2000)));
@@ -155,14 +164,15 @@
     let refused = answers.iter().filter(|effects| is_refused(effects)).count();
     assert!(
         refused >= 17,
-        "two slots start two of them within a second: {refused}"
+        "two slots start only two calls within a second: {refused}"
     );
 }
 
-/// What must start later does not stand in the way of a call: beside queued runs of 300 ms that have 1.5 s, one
-/// of 20 ms that has 200 ms gets the next slot. It is often made for a run that holds a slot elsewhere.
+/// Queued calls with a later start deadline do not delay a call with an earlier one: a run of 20 ms
+/// due within 200 ms gets the next slot ahead of runs of 300 ms due within 1.5 s. Such a short call
+/// is often made on behalf of a run that holds a slot elsewhere.
 #[test]
-fn sooner_due_taken() {
+fn earlier_deadline_admitted() {
     let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries(Some(1500)));
     node.announce(node::target(TARGET, "registru", SLOTS));
     node.call(calls::CallEvent::Arrived(node::arrival(1_000, "/")));
@@ -193,7 +203,10 @@
         assert!(!is_refused, "{answer:?}");
     }
     let answer = offer(&mut node, 200, "lookup", 200);
-    assert!(answer.is_empty(), "it waits for the next slot: {answer:?}");
+    assert!(
+        answer.is_empty(),
+        "the call waits for the next slot: {answer:?}"
+    );
     let (call, result) = (ids::CallId(100), calls::RunResult::Done { status: 200 });
     let effects = node.call(calls::CallEvent::RunEnded { call, result });
     let started = effects.iter().find_map(|effect| match effect {
@@ -203,78 +216,84 @@
     assert_eq!(started, Some(ids::CallId(200)));
 }
 
-/// A queue that takes up a burst is as long as the target latency allows; one that has not been empty for a
-/// while is kept short, as it serves no more calls for being long.
+/// A queue that absorbs a burst may grow as long as the target latency allows. A queue that has not
+/// been empty for a while is kept short, since a longer one would serve no more calls.
 #[test]
 fn standing_queue_short() {
-    let mut desk = Desk::full();
-    let queued = |desk: &mut Desk| {
+    let mut owner_node = OwnerNode::full();
+    let queued = |owner_node: &mut OwnerNode| {
         (0..8)
-            .filter(|_| desk.offer("common", 5000).1.is_none())
+            .filter(|_| owner_node.offer("common", 5000).1.is_none())
             .count()
     };
-    assert_eq!(queued(&mut desk), 4, "a burst");
+    assert_eq!(queued(&mut owner_node), 4, "a burst");
     let mut running: std::collections::VecDeque<ids::CallId> = (7..9).map(ids::CallId).collect();
-    let mut waited_for = 0;
+    let mut admitted = 0;
     for _ in 0..12 {
-        desk.node.now = desk.node.now + RUN / SLOTS;
+        owner_node.node.now = owner_node.node.now + RUN_TIME / SLOTS;
         let call = running.pop_front().expect("both slots are in use");
         let result = calls::RunResult::Done { status: 200 };
-        let effects = desk.node.call(calls::CallEvent::RunEnded { call, result });
+        let effects = owner_node
+            .node
+            .call(calls::CallEvent::RunEnded { call, result });
         running.extend(effects.iter().filter_map(|effect| match effect {
             calls::CallEffect::Run(call, _) => Some(*call),
             _ => None,
         }));
-        waited_for = queued(&mut desk);
+        admitted = queued(&mut owner_node);
     }
-    assert_eq!(running.len(), 2, "no slot is idle for it");
-    assert_eq!(waited_for, 1, "as many as started");
+    assert_eq!(running.len(), 2, "no slot is idle");
+    assert_eq!(admitted, 1, "as many are admitted as started");
     let report = hazeltiller_engine::admission::load(
-        &desk.node.state,
+        &owner_node.node.state,
         &TARGET.parse().expect("it is a name"),
     );
     assert!(report.queued <= 2, "{report:?}");
 }
 
 #[test]
-fn impatient_returned() {
-    let mut desk = Desk::full();
-    let (_, refusal) = desk.offer("common", 20);
-    let refusal = refusal.expect("50 ms are to be waited for");
+fn long_wait_refused() {
+    let mut owner_node = OwnerNode::full();
+    let (_, refusal) = owner_node.offer("common", 20);
+    let refusal = refusal.expect("the wait is 50 ms");
     assert!(refusal.elsewhere && refusal.load.is_some());
-    assert!(desk.offer("common", 60).1.is_none());
+    assert!(owner_node.offer("common", 60).1.is_none());
 }
 
 #[test]
-fn useless_given_up() {
-    let mut desk = Desk::full();
-    let (waiting, refusal) = desk.offer("common", 5000);
+fn expired_call_refused() {
+    let mut owner_node = OwnerNode::full();
+    let (waiting, refusal) = owner_node.offer("common", 5000);
     assert_eq!(refusal, None);
-    let effects = desk.node.pass(Duration::from_millis(201));
+    let effects = owner_node.node.pass(Duration::from_millis(201));
     let refused = effects
         .iter()
         .any(|effect| matches!(effect, calls::CallEffect::Refuse(call, _) if *call == waiting));
-    assert!(refused, "its run no longer fits: {effects:?}");
+    assert!(refused, "its run can no longer end in time: {effects:?}");
 }
 
 #[test]
-fn first_due_first() {
-    let mut desk = Desk::full();
+fn earliest_deadline_first() {
+    let mut owner_node = OwnerNode::full();
     let mut offered = Vec::new();
     for latency_left_ms in [280, 220, 250] {
-        desk.last += 1;
-        let call = ids::CallId(desk.last);
+        owner_node.last_call += 1;
+        let call = ids::CallId(owner_node.last_call);
         let offer = wire::CallOffer {
             deadline_left_ms: 1200,
             latency_left_ms,
             ..node::offer(TARGET, "registru", "common")
         };
-        desk.node.call(calls::CallEvent::Offered { call, offer });
+        owner_node
+            .node
+            .call(calls::CallEvent::Offered { call, offer });
         offered.push(call);
     }
     let result = calls::RunResult::Done { status: 200 };
     let call = ids::CallId(7);
-    let effects = desk.node.call(calls::CallEvent::RunEnded { call, result });
+    let effects = owner_node
+        .node
+        .call(calls::CallEvent::RunEnded { call, result });
     let started = effects.iter().find_map(|effect| match effect {
         calls::CallEffect::Run(call, _) => Some(*call),
         _ => None,
@@ -282,8 +301,8 @@
     assert_eq!(started, Some(offered[1]));
 }
 
-/// Share of the requests that are answered within 300 ms at one and a half times what four targets
-/// of differing speed can serve.
+/// Returns the share of requests that are answered within 300 ms at a load of one and a half times
+/// the capacity of four targets of different speed.
 fn served_in_time(latency_ms: Option<u32>, compared: u64, placements: u64) -> f64 {
     let target = |service_ms| model::ModelTarget {
         service_name: "registru",
@@ -305,7 +324,7 @@
         node.state.settings.tunables.routing.compared = compared;
         node.state.settings.tunables.retry.free_placements = placements;
     });
-    // 6 slots each: 100 + 66.7 + 66.7 + 33.3 a second.
+    // Capacity with 6 slots each: 100 + 66.7 + 66.7 + 33.3 calls a second.
     let kinds = [model::CallKind::plain("/vehicles", 400.0)];
     let counts = model.run(&kinds, Duration::from_secs(30));
     let in_time = |latency: &&u64| **latency <= 300_000;
@@ -313,31 +332,35 @@
     served as f64 / counts[0].sent as f64
 }
 
-/// The most that can be served is two thirds. Of the two figures that it prints, queues as long as the deadline
-/// and two random targets give the first, queues bounded by target latency the second: 0.024 and 0.499 while
-/// standing queues were as long as any, 0.278 and 0.601 since they are kept short.
+/// Under overload, queues bounded by target latency serve far more calls in time than queues
+/// bounded by the deadline with a choice between two random targets. At most two thirds of the
+/// calls can be served. The shares with this seed are 0.258 without and 0.518 with the bound; in a
+/// trial without the limit on standing queues they were 0.015 and 0.504.
 #[test]
 fn overload_in_time() {
     let unbounded = served_in_time(None, 2, 0);
     let bounded = served_in_time(Some(300), 16, 3);
     println!("unbounded {unbounded:.3}, bounded {bounded:.3}");
     assert!(bounded > 0.45, "{bounded}");
-    assert!(bounded > unbounded + 0.2, "{unbounded} before, {bounded}");
+    assert!(
+        bounded > unbounded + 0.2,
+        "{unbounded} unbounded, {bounded} bounded"
+    );
 }
 
-/// A target that sheds half of all calls, however few it has, keeps its slots; one that sheds what
-/// is above its real room loses those that it does not have.
+/// A faulty target that sheds half of all calls regardless of load keeps its slots. A target that
+/// sheds only what exceeds its real capacity is reduced to that capacity.
 #[test]
 fn faulty_sheds_keep_slots() {
     let sheds = [
         (
-            "at fault",
+            "faulty",
             6,
             (|running, turn| turn % 2 == 0 && running > 0) as fn(u32, u32) -> bool,
         ),
         ("small", 2, |running, _| running > 2),
     ];
-    for (name, least, is_shed) in sheds {
+    for (name, real_slots, is_shed) in sheds {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries(None));
         node.announce(node::target(TARGET, "registru", 6));
         let mut running = std::collections::VecDeque::new();
@@ -345,16 +368,16 @@
             let call = ids::CallId(u64::from(turn) + 1);
             let offer = node::offer(TARGET, "registru", "common");
             let effects = node.call(calls::CallEvent::Offered { call, offer });
-            let begins = |effect: &calls::CallEffect| match effect {
+            let started_call = |effect: &calls::CallEffect| match effect {
                 calls::CallEffect::Run(call, _) => Some(*call),
                 _ => None,
             };
-            running.extend(effects.iter().filter_map(begins));
+            running.extend(effects.iter().filter_map(started_call));
             if is_shed(running.len() as u32, turn) {
-                let call = running.pop_back().expect("one has just begun");
+                let call = running.pop_back().expect("a run has just started");
                 let result = calls::RunResult::Declined;
                 let effects = node.call(calls::CallEvent::RunEnded { call, result });
-                running.extend(effects.iter().filter_map(begins));
+                running.extend(effects.iter().filter_map(started_call));
             }
             node.now = node.now + Duration::from_millis(20);
             if turn % 4 != 3
@@ -362,12 +385,12 @@
             {
                 let result = calls::RunResult::Done { status: 200 };
                 let effects = node.call(calls::CallEvent::RunEnded { call, result });
-                running.extend(effects.iter().filter_map(begins));
+                running.extend(effects.iter().filter_map(started_call));
             }
         }
         let target = TARGET.parse().expect("it is a name");
         let slots = hazeltiller_engine::admission::slots(&node.state, &target);
-        if least == 6 {
+        if real_slots == 6 {
             assert_eq!(slots, 6, "{name}");
         } else {
             assert!((1..=4).contains(&slots), "{name}: {slots}");
@@ -375,26 +398,42 @@
     }
 }
 
-/// Short calls of a better class come now and then beside long ones that fill every slot.
+/// Slots are reserved for short calls of a higher-priority class while long calls fill every slot.
 #[test]
 fn reserve_kept() {
-    let reserve = hazeltiller_engine::admission::reserve::UrgentUse::default();
-    let mut busy = reserve;
+    let idle_usage = hazeltiller_engine::admission::reserve::PriorityUsage::default();
+    let mut usage = idle_usage;
     let mut now = hazeltiller_units::time::MonotonicTime::default();
     for _ in 0..200 {
         now = now + Duration::from_millis(15);
-        busy.note_run(Duration::from_millis(30), Duration::from_millis(100), now);
+        usage.record_run(Duration::from_millis(30), Duration::from_millis(100), now);
     }
     let turnover = Duration::from_millis(40);
-    assert_eq!(reserve.reserved(6, turnover, now), 0, "nobody needs any");
-    assert_eq!(busy.reserved(6, turnover, now), 2, "two in use on average");
+    assert_eq!(
+        idle_usage.reserved(6, turnover, now),
+        0,
+        "no higher-priority call ran"
+    );
+    assert_eq!(
+        usage.reserved(6, turnover, now),
+        2,
+        "two slots are in use on average"
+    );
     let soon = Duration::from_millis(5);
-    assert_eq!(busy.reserved(6, soon, now), 0, "a slot frees soon enough");
+    assert_eq!(
+        usage.reserved(6, soon, now),
+        0,
+        "a slot is released soon enough"
+    );
     let later = now + Duration::from_secs(10);
-    assert_eq!(busy.reserved(6, turnover, later), 0, "they are over");
+    assert_eq!(
+        usage.reserved(6, turnover, later),
+        0,
+        "the usage has decayed"
+    );
 }
 
-/// Offers per call of 60 ingress nodes before 30 targets, four fifths loaded.
+/// Returns the offers for each call, of 60 ingress nodes and 30 targets at a load of four fifths.
 fn offers_per_call(compared: u64) -> f64 {
     let target = |number: u64| model::ModelTarget {
         service_name: "registru",
@@ -416,7 +455,7 @@
         node.state.settings.tunables.routing.compared = compared;
         let retry = &mut node.state.settings.tunables.retry;
         retry.free_placements = 3;
-        // The budget bounds what herds cost, and would hide them.
+        // A tighter budget would bound the additional offers and hide the herding.
         retry.placement_percent = 1000;
         retry.placement_reserve = 1000;
     });
@@ -425,40 +464,48 @@
     counts[0].tries as f64 / counts[0].sent as f64
 }
 
-/// With reports that lag, nodes that compare all targets choose the same one; what it has no room
-/// for is offered again elsewhere, and its node is busy giving offers back.
+/// Load reports lag, so nodes that compare all targets herd onto the same one. The calls that it
+/// has no capacity for are offered again elsewhere, and its owner node is busy refusing offers.
+/// Comparing a few random targets avoids this.
 #[test]
 fn herd_avoided() {
     let (all, few) = (offers_per_call(64), offers_per_call(5));
-    println!("offers a call: {all:.2} of all compared, {few:.2} of five");
-    assert!(few < all * 0.8, "{few} against {all}");
+    println!("offers per call: {all:.2} if all targets are compared, {few:.2} if five are");
+    assert!(few < all * 0.8, "{few} offers per call against {all}");
 }
 
-/// A call whose target latency is over takes a free slot, or the next one; it does not stand among those
-/// that can still be answered in time.
+/// A call whose target latency has passed takes a free slot, or the next one if no other call
+/// waits; it does not compete with calls that can still be answered in time.
 #[test]
 fn overdue_last() {
-    let mut desk = Desk::full();
-    let (next, refusal) = desk.offer_within("common", 5000, 0);
-    assert_eq!(refusal, None, "nobody else waits");
-    let (_, refusal) = desk.offer_within("common", 5000, 0);
-    let refusal = refusal.expect("somebody waits already");
+    let mut owner_node = OwnerNode::full();
+    let (next, refusal) = owner_node.offer_within("common", 5000, 0);
+    assert_eq!(refusal, None, "no other call waits");
+    let (_, refusal) = owner_node.offer_within("common", 5000, 0);
+    let refusal = refusal.expect("another call waits already");
     assert_eq!(refusal.code, code::ResultCode::LatencyUnreachable);
     assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
     assert!(refusal.elsewhere, "another target may have a free slot");
-    desk.node.call(calls::CallEvent::RunEnded {
+    owner_node.node.call(calls::CallEvent::RunEnded {
         call: next,
         result: calls::RunResult::CallerGone,
     });
-    let (_, refusal) = desk.offer("common", 5000);
+    let (_, refusal) = owner_node.offer("common", 5000);
     assert_eq!(refusal, None);
-    let (_, refusal) = desk.offer_within("common", 5000, 0);
-    assert!(refusal.is_some(), "the slot is for the one that is in time");
-    let (_, refusal) = desk.offer_within("urgent", 5000, 0);
-    assert_eq!(refusal, None, "a better class waits for its deadline");
+    let (_, refusal) = owner_node.offer_within("common", 5000, 0);
+    assert!(
+        refusal.is_some(),
+        "the slot is kept for the call that is in time"
+    );
+    let (_, refusal) = owner_node.offer_within("urgent", 5000, 0);
+    assert_eq!(
+        refusal, None,
+        "a higher-priority class waits until its deadline"
+    );
 }
 
-/// What the ingress node offers for a caller that says how much time it has left.
+/// Returns the target latency left, in milliseconds, in the offer for a caller that has `left_ms`
+/// left.
 fn latency_left(node: &mut node::NodeReducer, call: u64, left_ms: u64) -> u32 {
     let arrival = calls::CallArrival {
         deadline_left: Some(Duration::from_millis(left_ms)),
@@ -473,17 +520,17 @@
     offers.last().expect("there is a target")
 }
 
-/// The target latency counts from a caller's first send: one that comes back with less time than
-/// callers of the route usually have has spent the rest already.
+/// The target latency counts from a caller's first send: a caller that arrives with less time left
+/// than is typical of the route has spent the difference on earlier sends.
 #[test]
-fn returned_callers() {
+fn returning_callers() {
     let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries(Some(300)));
     node.announce(node::target(TARGET, "registru", SLOTS));
     for call in 0..40 {
         let left = if call % 4 == 3 { 800 } else { 1000 + call % 2 };
         latency_left(&mut node, call, left);
     }
-    assert_eq!(latency_left(&mut node, 50, 1000), 300, "as usual");
+    assert_eq!(latency_left(&mut node, 50, 1000), 300, "the typical time");
     assert_eq!(latency_left(&mut node, 51, 900), 199, "100 ms were spent");
     assert_eq!(latency_left(&mut node, 52, 600), 0);
     let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries(Some(300)));
@@ -494,6 +541,6 @@
     assert_eq!(
         latency_left(&mut node, 90, 400),
         300,
-        "no time is usual here"
+        "callers have no typical time"
     );
 }
