--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -136,7 +136,7 @@
                     digest: state.digest,
                 });
             }
-            event::Effect::Dissemination(dissemination::DisseminationEffect::Unsound {
+            event::Effect::Dissemination(dissemination::DisseminationEffect::InvalidUpdate {
                 from,
                 held,
             }) => self.timeline.note(TimelineEvent::VersionRefused {
@@ -149,7 +149,7 @@
                 reason,
             }) => self.timeline.note(TimelineEvent::ParentLost {
                 parent: *address,
-                reason: reason.word().into(),
+                reason: reason.as_str().into(),
             }),
             event::Effect::Membership(membership::MembershipEffect::Withdraw(target)) => {
                 let target = target.clone();
@@ -319,10 +319,14 @@
                     patience_ms: plan.offer.patience_ms,
                     version: plan
                         .candidate
-                        .trial
+                        .rollout_cohort
                         .as_ref()
                         .map(|(version, _)| version.clone()),
-                    cohort: plan.candidate.trial.as_ref().map(|(_, cohort)| *cohort),
+                    cohort: plan
+                        .candidate
+                        .rollout_cohort
+                        .as_ref()
+                        .map(|(_, cohort)| *cohort),
                 });
             }
             calls::CallEffect::Run(call, plan) => {
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -150,7 +150,7 @@
     let slots = slots(state, target);
     let now = state.now;
     let service = &state.membership.targets.get(target)?.record.service;
-    let last_rank = state.routing.routes.last_rank(service);
+    let max_rank = state.routing.routes.max_rank(service);
     let admission = state.admission.targets.get_mut(target)?;
     if admission.running >= slots {
         return None;
@@ -159,11 +159,11 @@
     let (queued, rank) = if is_open {
         admission.queue.pop()?
     } else {
-        admission.queue.pop_higher_priority(last_rank?)?
+        admission.queue.pop_higher_priority(max_rank?)?
     };
     admission.update_standing(now);
     admission.running += 1;
-    admission.running_lowest += u32::from(Some(rank) >= last_rank);
+    admission.running_lowest += u32::from(Some(rank) >= max_rank);
     Some(queued.call)
 }
 
--- a/crates/engine/src/admission/latency.rs
+++ b/crates/engine/src/admission/latency.rs
@@ -41,6 +41,6 @@
 pub(super) fn is_bounded(state: &reducer::EngineState, offer: &wire::CallOffer) -> bool {
     let catalogue = &state.dissemination.in_force;
     let rank = catalogue.class(&offer.class).map(|class| class.rank);
-    let lowest_rank = state.routing.routes.last_rank(&offer.service);
-    rank >= lowest_rank
+    let max_rank = state.routing.routes.max_rank(&offer.service);
+    rank >= max_rank
 }
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -152,7 +152,7 @@
         .ingress
         .get(&call)
         .map(|record| &record.attributes.service);
-    let reachable_in = service.and_then(|service| health::unreached_for(state, service));
+    let reachable_in = service.and_then(|service| health::connect_retry_delay(state, service));
     let retry_delay = reachable_in.unwrap_or(TARGET_RETRY_DELAY).as_millis() as u32;
     let retry_after_ms = add_jitter(state, retry_delay.max(1));
     let refusal = wire::CallRefusal {
@@ -166,7 +166,7 @@
 fn attempt(
     state: &mut reducer::EngineState,
     call: ids::CallId,
-    prefers_away: bool,
+    prefers_other_centres: bool,
     output: &mut event::ReducerOutput,
 ) -> bool {
     let Some(record) = state.calls.ingress.get(&call) else {
@@ -174,11 +174,11 @@
     };
     let (service, tried) = (record.attributes.service.clone(), record.tried.clone());
     let route = record.attributes.route.clone();
-    let mut request = routing::ChoiceRequest {
+    let mut request = routing::SelectionRequest {
         service: &service,
         spill: record.spill,
         tried: &tried,
-        prefers_away,
+        prefers_other_centres,
         route: &route,
         cohort: record.cohort,
     };
@@ -212,7 +212,7 @@
         deadline_left: record.deadline.since(now),
         latency_left: attainable_latency(
             record.latency_deadline.since(now),
-            candidate.shortest_run,
+            candidate.shortest_run_time,
         ),
         max_queue_wait: candidate.patience.filter(|_| has_placements_left),
     };
@@ -230,8 +230,8 @@
 
 /// Returns the time left of the target latency, or zero if not even the fastest of the compared
 /// targets can respond within it.
-fn attainable_latency(left: Duration, shortest_run: Option<Duration>) -> Duration {
-    if shortest_run.is_some_and(|run| run > left) {
+fn attainable_latency(left: Duration, shortest_run_time: Option<Duration>) -> Duration {
+    if shortest_run_time.is_some_and(|run| run > left) {
         Duration::ZERO
     } else {
         left
@@ -255,13 +255,13 @@
         .is_some_and(|target| state.membership.targets.contains_key(target));
     if !is_own && is_latency_refusal(&result) {
         let elapsed = state.now.since(record.attempted_at);
-        state.routing.offer_cost.note(elapsed);
+        state.routing.offer_cost.record(elapsed);
     }
     if let Some(target) = target {
         update_view(state, &attributes, &target, &result, report.load);
     }
     if report.bytes > 0 {
-        state.routing.sizes.note(&attributes.route, report.bytes);
+        state.routing.sizes.record(&attributes.route, report.bytes);
     }
     let Some(proof) = retry::FailureProof::of(&result) else {
         earn_budgets(state, &attributes, &result);
@@ -300,7 +300,7 @@
     state: &mut reducer::EngineState,
     call: ids::CallId,
     proof: retry::FailureProof,
-    prefers_away: bool,
+    prefers_other_centres: bool,
     output: &mut event::ReducerOutput,
 ) -> bool {
     let now = state.now;
@@ -336,7 +336,7 @@
     }
     record.placements += u32::from(question.is_placement);
     record.may_have_run |= proof == retry::FailureProof::MayHaveRun;
-    let is_tried = attempt(state, call, prefers_away, output);
+    let is_tried = attempt(state, call, prefers_other_centres, output);
     if !is_tried && spends_retry {
         let tunables = &state.settings.tunables.retry;
         state.retry.budget(&attributes, tunables).give_back();
@@ -361,7 +361,7 @@
     };
     if let Some(load) = load {
         let routing = &mut state.routing;
-        routing.take_report(&attributes.service, &attributes.route, target, load, now);
+        routing.record_load_report(&attributes.service, &attributes.route, target, load, now);
     }
     let Some(view) = state.routing.views.get_mut(target) else {
         return;
@@ -369,11 +369,11 @@
     let is_failing = load.is_some_and(|load| load.is_failing);
     match result {
         _ if is_failing => view.health.eject(now, first_ejection),
-        calls::AttemptResult::NotReached => view.health.note_unreached(now, first_ejection),
-        calls::AttemptResult::Lost => view.health.note_failure(now, first_ejection, tunables),
+        calls::AttemptResult::NotReached => view.health.record_connect_failure(now, first_ejection),
+        calls::AttemptResult::Lost => view.health.record_failure(now, first_ejection, tunables),
         calls::AttemptResult::Refused(refusal) => {
             if refusal.outcome == wire::CallOutcome::Unknown {
-                view.health.note_failure(now, first_ejection, tunables);
+                view.health.record_failure(now, first_ejection, tunables);
             } else if retry::is_leaving(refusal) {
                 view.health.eject(now, first_ejection);
             }
