--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -280,7 +280,7 @@
             calls::RunResult::NotConnected => CallFailure::NotConnected,
             calls::RunResult::Declined => CallFailure::Declined,
             calls::RunResult::WrongTarget => CallFailure::Misplaced,
-            calls::RunResult::Malformed => CallFailure::Unsound,
+            calls::RunResult::Invalid => CallFailure::Unsound,
             calls::RunResult::Crashed => CallFailure::Crashed,
             calls::RunResult::TimedOut => CallFailure::TimedOut,
             calls::RunResult::Truncated => CallFailure::Cut,
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -205,7 +205,7 @@
             }
             dialect::AnswerVerdict::Unsound => {
                 let unsound = wire::CallRefusal::unknown(code::ResultCode::AnswerUnsound);
-                return self.end(calls::RunResult::Malformed, unsound);
+                return self.end(calls::RunResult::Invalid, unsound);
             }
         }
         let bound = context.requests.answer_hold_bytes;
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -85,7 +85,7 @@
     /// A different target answers at the address; the request did not run.
     WrongTarget,
     /// The target sent something that is not a complete response to the request.
-    Malformed,
+    Invalid,
     /// The target closed the connection before the first byte of a response.
     Crashed,
     /// The first byte of the response did not arrive in time.
--- a/crates/engine/src/health.rs
+++ b/crates/engine/src/health.rs
@@ -92,7 +92,7 @@
         calls::RunResult::Done { status } => status < 500,
         calls::RunResult::NotConnected
         | calls::RunResult::WrongTarget
-        | calls::RunResult::Malformed
+        | calls::RunResult::Invalid
         | calls::RunResult::Crashed
         | calls::RunResult::TimedOut
         | calls::RunResult::Truncated => false,
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -262,7 +262,7 @@
         calls::RunResult::Done { status: 503 },
         calls::RunResult::Declined,
         calls::RunResult::Truncated,
-        calls::RunResult::Malformed,
+        calls::RunResult::Invalid,
         calls::RunResult::NotConnected,
         calls::RunResult::TimedOut,
         calls::RunResult::CallerGone,
