--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -18,7 +18,7 @@
     metrics.retry_budget.reset();
     for (service, _class, budget) in state.retry.budgets() {
         let gauge = metrics.retry_budget.with_label_values(&[service.as_str()]);
-        gauge.add(budget.tries() as i64);
+        gauge.add(budget.available() as i64);
     }
 }
 
--- a/crates/engine/src/retry.rs
+++ b/crates/engine/src/retry.rs
@@ -76,7 +76,7 @@
     }
 
     /// Further tries that it pays for now.
-    pub fn tries(&self) -> u64 {
+    pub fn available(&self) -> u64 {
         self.percent / 100
     }
 
