--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -263,7 +263,7 @@
     if report.bytes > 0 {
         state.routing.sizes.record(&attributes.route, report.bytes);
     }
-    let Some(proof) = retry::FailureProof::of(&result) else {
+    let Some(proof) = retry::FailureProof::from_result(&result) else {
         earn_budgets(state, &attributes, &result);
         return forward_answer(call, output);
     };
@@ -280,7 +280,7 @@
         return refuse_no_target(state, call, refusal, output);
     }
     let is_rate_refusal = refusal.code == code::ResultCode::RateExceeded;
-    if proof == retry::FailureProof::NotOffered && !is_rate_refusal {
+    if proof == retry::FailureProof::NotAdmitted && !is_rate_refusal {
         let throttles = &mut state.calls.throttles;
         throttles.record_no_capacity(&attributes.service, &attributes.route, &refusal);
     }
@@ -310,36 +310,36 @@
     };
     let target = record.target.as_ref();
     let view = target.and_then(|target| state.routing.views.get(target));
-    let question = retry::RetryQuestion {
+    let context = retry::RetryContext {
         proof,
         is_idempotent: record.attributes.is_idempotent,
         tries: (record.tried.len() as u32).saturating_sub(record.placements),
         max_tries: record.max_tries,
-        is_placement: u64::from(record.placements) < proof.placements(tunables),
+        is_free_placement: u64::from(record.placements) < proof.placements(tunables),
         arrived_attempt: record.arrived_attempt,
-        left: record.deadline.since(now),
-        service_time: view.map_or(Duration::ZERO, |view| {
+        time_left: record.deadline.since(now),
+        run_time: view.map_or(Duration::ZERO, |view| {
             view.run_time(&record.attributes.route)
         }),
     };
     let attributes = record.attributes.clone();
-    if !question.is_allowed() {
+    if !context.is_allowed() {
         return false;
     }
-    let spends_placement = question.is_placement && proof == retry::FailureProof::NotOffered;
+    let spends_placement = context.is_free_placement && proof == retry::FailureProof::NotAdmitted;
     if spends_placement && !state.retry.placements(&attributes, tunables).spend() {
         return false;
     }
-    let spends_retry = proof.is_paid() && !question.is_placement;
+    let spends_retry = proof.uses_budget() && !context.is_free_placement;
     if spends_retry && !state.retry.budget(&attributes, tunables).spend() {
         return false;
     }
-    record.placements += u32::from(question.is_placement);
+    record.placements += u32::from(context.is_free_placement);
     record.may_have_run |= proof == retry::FailureProof::MayHaveRun;
     let is_tried = attempt(state, call, prefers_other_centres, output);
     if !is_tried && spends_retry {
         let tunables = &state.settings.tunables.retry;
-        state.retry.budget(&attributes, tunables).give_back();
+        state.retry.budget(&attributes, tunables).refund();
     }
     is_tried
 }
@@ -374,7 +374,7 @@
         calls::AttemptResult::Refused(refusal) => {
             if refusal.outcome == wire::CallOutcome::Unknown {
                 view.health.record_failure(now, first_ejection, tunables);
-            } else if retry::is_leaving(refusal) {
+            } else if retry::is_target_leaving(refusal) {
                 view.health.eject(now, first_ejection);
             }
         }
@@ -387,7 +387,7 @@
     attributes: &attributes::CallAttributes,
     result: &calls::AttemptResult,
 ) {
-    if retry::is_good(result) {
+    if retry::is_success(result) {
         let tunables = &state.settings.tunables.retry;
         state.retry.budget(attributes, tunables).earn();
         state.retry.placements(attributes, tunables).earn();
--- a/crates/engine/src/retry.rs
+++ b/crates/engine/src/retry.rs
@@ -1,10 +1,12 @@
-//! Whether a call whose try failed is tried again.
+//! Retry policy: decides whether a call is attempted again after a failed attempt.
 //!
-//! A second try is made only where it can do no harm: the call may run more than once, or it is
-//! proven not to have run. It is paid for by good first answers of the same service and class, so a service
-//! that fails altogether is sent hardly more than its callers sent. A call that is a second try
-//! already, anywhere along its way, gets no more for runs that failed: hops do not multiply. The search for a
-//! target that has room is paid for in the same way, by calls that found one: a shortage does not multiply offers.
+//! A retry is made only if it is harmless: the call is idempotent, or is proven not to have run.
+//! Each retry is paid from a budget that successful calls of the same service and class fill, so a
+//! service that fails completely receives hardly more calls than its callers sent. A call that is
+//! itself a retry, made anywhere on its path, is not retried after a failure that may have run it,
+//! so retries do not multiply over hops. Further offers in search of a target with capacity are
+//! paid from a second budget that successful calls fill, so a shortage of capacity does not
+//! multiply offers.
 
 use std::time::Duration;
 
@@ -14,91 +16,93 @@
 
 use crate::{calls, settings};
 
-/// Status with which a target sheds a call.
+/// HTTP status with which a target sheds a call.
 const SHED_STATUS: u16 = 503;
-/// Smallest status of an answer that says that the target failed.
+/// Lowest HTTP status of a response that reports a failure of the target.
 const FAILED_STATUS: u16 = 500;
 
-/// Whether a try ended with an answer that pays for second tries.
-pub fn is_good(result: &calls::AttemptResult) -> bool {
+/// Returns whether an attempt ended with a response that fills the budgets.
+pub fn is_success(result: &calls::AttemptResult) -> bool {
     matches!(result, calls::AttemptResult::Answered { status } if *status < FAILED_STATUS)
 }
 
-/// What earns further tries, and how many may be made at once.
+/// Rate at which a budget is filled, and its capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BudgetTerms {
-    /// Earned by each good try, in hundredths of a further one.
-    pub percent: u64,
-    /// Most that are saved up; there before any was earned.
-    pub reserve: u64,
+pub struct BudgetPolicy {
+    /// Amount added by each successful attempt, in percent of a further attempt.
+    pub earned_percent: u64,
+    /// Capacity in attempts; a new budget is full.
+    pub capacity: u64,
 }
 
-impl BudgetTerms {
-    /// Terms of second tries, which may run a call again.
-    pub fn of_retries(tunables: &settings::RetryTunables) -> Self {
+impl BudgetPolicy {
+    /// Returns the policy for retries, which may run a call a second time.
+    pub fn for_retries(tunables: &settings::RetryTunables) -> Self {
         Self {
-            percent: tunables.budget_percent,
-            reserve: tunables.budget_reserve,
+            earned_percent: tunables.budget_percent,
+            capacity: tunables.budget_reserve,
         }
     }
 
-    /// Terms of further offers to nodes that may have room. Each costs the processors of two nodes, so
-    /// without a bound the nodes have the most to do when all targets are full, and answers come too late.
-    pub fn of_placements(tunables: &settings::RetryTunables) -> Self {
+    /// Returns the policy for further offers to nodes that may have capacity. Each offer costs
+    /// processor time on two nodes; without a bound, the nodes would be busiest when all targets
+    /// are full, and responses would be late.
+    pub fn for_placements(tunables: &settings::RetryTunables) -> Self {
         Self {
-            percent: tunables.placement_percent,
-            reserve: tunables.placement_reserve,
+            earned_percent: tunables.placement_percent,
+            capacity: tunables.placement_reserve,
         }
     }
 }
 
-/// Further tries that good ones have paid for.
+/// Budget of further attempts, filled by successful ones.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    terms: BudgetTerms,
-    /// In hundredths of a try.
-    percent: u64,
+    policy: BudgetPolicy,
+    /// Balance in percent of an attempt.
+    balance_percent: u64,
 }
 
 impl RetryBudget {
-    /// The budget before any try.
-    pub fn new(terms: BudgetTerms) -> Self {
+    /// Returns a full budget.
+    pub fn new(policy: BudgetPolicy) -> Self {
         Self {
-            terms,
-            percent: terms.reserve * 100,
+            policy,
+            balance_percent: policy.capacity * 100,
         }
     }
 
-    /// Takes a good try.
+    /// Adds the amount that a successful attempt earns.
     pub fn earn(&mut self) {
-        let most = self.terms.reserve * 100;
-        self.percent = (self.percent + self.terms.percent).min(most);
+        let capacity_percent = self.policy.capacity * 100;
+        self.balance_percent =
+            (self.balance_percent + self.policy.earned_percent).min(capacity_percent);
     }
 
-    /// Further tries that it pays for now.
+    /// Returns the number of further attempts that the balance pays for.
     pub fn available(&self) -> u64 {
-        self.percent / 100
+        self.balance_percent / 100
     }
 
-    /// Takes back what was spent on a try that was not made.
-    pub fn give_back(&mut self) {
-        self.percent += 100;
+    /// Adds back the cost of an attempt that was not made.
+    pub fn refund(&mut self) {
+        self.balance_percent += 100;
     }
 
-    /// Pays for a further try, if there is enough.
+    /// Deducts the cost of a further attempt; returns false if the balance does not suffice.
     pub fn spend(&mut self) -> bool {
-        let is_enough = self.percent >= 100;
-        if is_enough {
-            self.percent -= 100;
+        let is_covered = self.balance_percent >= 100;
+        if is_covered {
+            self.balance_percent -= 100;
         }
-        is_enough
+        is_covered
     }
 }
 
-/// Budgets by service and class, so that refusals of one class spend nothing of another's.
+/// Budgets by service and class, so that refusals of one class do not spend another's budget.
 type BudgetTable = IndexMap<(ids::EntryName, ids::EntryName), RetryBudget>;
 
-/// State of retries.
+/// Budgets of this node.
 #[derive(Debug, Clone, Default)]
 pub struct RetryState {
     budgets: BudgetTable,
@@ -106,7 +110,7 @@
 }
 
 impl RetryState {
-    /// Every budget of second tries with its service and class.
+    /// Returns every retry budget with its service and class.
     pub fn budgets(
         &self,
     ) -> impl Iterator<Item = (&ids::EntryName, &ids::EntryName, &RetryBudget)> {
@@ -115,138 +119,147 @@
             .map(|((service, class), budget)| (service, class, budget))
     }
 
-    /// The budget of second tries of a call's service and class.
+    /// Returns the retry budget of a call's service and class.
     pub fn budget(
         &mut self,
-        terms: &calls::attributes::CallAttributes,
+        attributes: &calls::attributes::CallAttributes,
         tunables: &settings::RetryTunables,
     ) -> &mut RetryBudget {
-        let key = (terms.service.clone(), terms.class.clone());
-        let terms = BudgetTerms::of_retries(tunables);
+        let key = (attributes.service.clone(), attributes.class.clone());
+        let policy = BudgetPolicy::for_retries(tunables);
         let budget = self.budgets.entry(key);
-        budget.or_insert_with(|| RetryBudget::new(terms))
+        budget.or_insert_with(|| RetryBudget::new(policy))
     }
 
-    /// The budget of further offers of a call's service and class.
+    /// Returns the budget of further offers of a call's service and class.
     pub fn placements(
         &mut self,
-        terms: &calls::attributes::CallAttributes,
+        attributes: &calls::attributes::CallAttributes,
         tunables: &settings::RetryTunables,
     ) -> &mut RetryBudget {
-        let key = (terms.service.clone(), terms.class.clone());
-        let terms = BudgetTerms::of_placements(tunables);
+        let key = (attributes.service.clone(), attributes.class.clone());
+        let policy = BudgetPolicy::for_placements(tunables);
         let budget = self.placements.entry(key);
-        budget.or_insert_with(|| RetryBudget::new(terms))
+        budget.or_insert_with(|| RetryBudget::new(policy))
     }
 }
 
-/// Whether an owner node refused because its target is gone or leaving, or itself is.
-pub fn is_leaving(refusal: &wire::CallRefusal) -> bool {
+/// Returns whether an owner node refused because its target is gone or leaving, or because the node
+/// itself is stopping.
+pub fn is_target_leaving(refusal: &wire::CallRefusal) -> bool {
     matches!(
         refusal.code,
         code::ResultCode::TargetMissing | code::ResultCode::NodeStopping
     )
 }
 
-/// Whether a call that was refused had been sent to a target.
-fn was_offered(refusal: &wire::CallRefusal) -> bool {
+/// Returns whether a refused call had been sent to a target.
+fn was_sent(refusal: &wire::CallRefusal) -> bool {
     matches!(
         refusal.code,
         code::ResultCode::TargetDeclined | code::ResultCode::TargetMisplaced
     )
 }
 
-/// What a failed try proves.
+/// What a failed attempt proves about the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureProof {
-    /// Its target is gone or leaving and took no work for it.
-    NotTaken,
-    /// Its target's node had no room for it; another target may take it.
-    NotOffered,
-    /// Its target declined it, and another one may take it.
+    /// The target or its owner node is unreachable, gone or leaving; the call was not sent to the
+    /// target.
+    TargetUnavailable,
+    /// The owner node did not admit the call; another target may accept it.
+    NotAdmitted,
+    /// The target did not run the call; another target may accept it.
     NotRun,
-    /// It did not run, and trying elsewhere cannot help.
-    Useless,
-    /// It may have run.
+    /// The call did not run, and another target could not run it either.
+    NotRetryable,
+    /// The call may have run.
     MayHaveRun,
 }
 
 impl FailureProof {
-    /// What the end of a try proves; `None` when its answer is passed on.
-    pub fn of(result: &calls::AttemptResult) -> Option<Self> {
+    /// Returns what the result of an attempt proves, or `None` if its response is forwarded.
+    pub fn from_result(result: &calls::AttemptResult) -> Option<Self> {
         match result {
             calls::AttemptResult::Answered { status } if *status != SHED_STATUS => None,
-            calls::AttemptResult::NotReached => Some(Self::NotTaken),
+            calls::AttemptResult::NotReached => Some(Self::TargetUnavailable),
             calls::AttemptResult::Lost | calls::AttemptResult::Answered { .. } => {
                 Some(Self::MayHaveRun)
             }
-            calls::AttemptResult::Refused(refusal) => Some(Self::of_refusal(refusal)),
+            calls::AttemptResult::Refused(refusal) => Some(Self::from_refusal(refusal)),
         }
     }
 
-    fn of_refusal(refusal: &wire::CallRefusal) -> Self {
+    fn from_refusal(refusal: &wire::CallRefusal) -> Self {
         match (refusal.outcome, refusal.elsewhere) {
             (wire::CallOutcome::Unknown | wire::CallOutcome::Ran, _) => Self::MayHaveRun,
-            (wire::CallOutcome::NotRun, true) if is_leaving(refusal) => Self::NotTaken,
-            (wire::CallOutcome::NotRun, true) if was_offered(refusal) => Self::NotRun,
-            (wire::CallOutcome::NotRun, true) => Self::NotOffered,
-            (wire::CallOutcome::NotRun, false) => Self::Useless,
+            (wire::CallOutcome::NotRun, true) if is_target_leaving(refusal) => {
+                Self::TargetUnavailable
+            }
+            (wire::CallOutcome::NotRun, true) if was_sent(refusal) => Self::NotRun,
+            (wire::CallOutcome::NotRun, true) => Self::NotAdmitted,
+            (wire::CallOutcome::NotRun, false) => Self::NotRetryable,
         }
     }
 
-    /// Times that the search for a place may go on beyond the route's tries: another node gave the call back
-    /// before a target was offered it, so that trying elsewhere is no repetition.
+    /// Returns how many further offers a call may make beyond the route's tries. The owner node
+    /// turned the call away before its target was offered it, so another attempt repeats nothing.
     pub fn placements(self, tunables: &settings::RetryTunables) -> u64 {
         match self {
-            Self::NotTaken => tunables.free_placements.max(tunables.leaving_placements),
-            Self::NotOffered => tunables.free_placements,
-            Self::NotRun | Self::Useless | Self::MayHaveRun => 0,
+            Self::TargetUnavailable => tunables.free_placements.max(tunables.leaving_placements),
+            Self::NotAdmitted => tunables.free_placements,
+            Self::NotRun | Self::NotRetryable | Self::MayHaveRun => 0,
         }
     }
 
-    /// Whether a second try is paid for. Where nothing took the first one it takes that one's
-    /// place; how many there are is bounded by the route's tries and by the ejection of the target.
-    pub fn is_paid(self) -> bool {
-        self != Self::NotTaken
+    /// Returns whether a retry is paid from the budget. If the call reached no target, the retry
+    /// merely replaces the failed attempt; the number of such retries is bounded by the route's
+    /// tries and by the ejection of the target.
+    pub fn uses_budget(self) -> bool {
+        self != Self::TargetUnavailable
     }
 }
 
-/// A call whose try failed.
+/// A call whose attempt failed, with what decides on a retry.
 #[derive(Debug, Clone, Copy)]
-pub struct RetryQuestion {
-    /// What the failure proves.
+pub struct RetryContext {
+    /// What the failed attempt proves.
     pub proof: FailureProof,
-    /// Whether the call may run more than once.
+    /// Whether the call may safely run more than once.
     pub is_idempotent: bool,
-    /// Tries of this ingress node so far.
+    /// Attempts of this ingress node so far that count against the route's tries.
     pub tries: u32,
     /// Tries that the route allows.
     pub max_tries: u32,
-    /// Whether this is a search for a place that costs no try.
-    pub is_placement: bool,
-    /// The largest number of a try along the call's way to this node.
+    /// Whether the next attempt is a free placement, which does not count against the route's
+    /// tries.
+    pub is_free_placement: bool,
+    /// Highest attempt number on the call's path to this node.
     pub arrived_attempt: u32,
-    /// Time until the call must be over.
-    pub left: Duration,
-    /// Measured time of a run; zero when it is not known.
-    pub service_time: Duration,
+    /// Time left until the call's deadline.
+    pub time_left: Duration,
+    /// Measured run time at the target; zero if unknown.
+    pub run_time: Duration,
 }
 
-impl RetryQuestion {
-    /// Whether a further try can do no harm and may still help; its budget is asked after that.
+impl RetryContext {
+    /// Returns whether a further attempt is harmless and may still succeed in time. The budget is
+    /// checked separately.
     pub fn is_allowed(&self) -> bool {
         let is_harmless = match self.proof {
-            FailureProof::NotTaken | FailureProof::NotOffered | FailureProof::NotRun => true,
-            FailureProof::Useless => false,
+            FailureProof::TargetUnavailable | FailureProof::NotAdmitted | FailureProof::NotRun => {
+                true
+            }
+            FailureProof::NotRetryable => false,
             FailureProof::MayHaveRun => self.is_idempotent && self.arrived_attempt <= 1,
         };
-        let is_in_time = !self.left.is_zero() && self.left >= self.service_time;
-        let is_left = self.is_placement || self.tries < self.max_tries;
-        is_harmless && is_in_time && is_left
+        let is_in_time = !self.time_left.is_zero() && self.time_left >= self.run_time;
+        let has_attempts_left = self.is_free_placement || self.tries < self.max_tries;
+        is_harmless && is_in_time && has_attempts_left
     }
 }
 
-/// What the caller is told when no further try is made.
+/// Returns the refusal that the caller gets when no further attempt is made.
 pub fn final_refusal(result: calls::AttemptResult, may_have_run: bool) -> wire::CallRefusal {
     let refusal = match result {
         calls::AttemptResult::Refused(refusal) => refusal,
@@ -258,7 +271,7 @@
         }
     };
     if may_have_run {
-        // An earlier try may have run, so the last one's proof does not cover the call.
+        // An earlier attempt may have run the call, so the last attempt's proof does not cover it.
         return wire::CallRefusal {
             outcome: wire::CallOutcome::Unknown,
             ..refusal
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: where they are harmless, within their budget, and without multiplying over hops.
+//! Retries: only if harmless, within their budget, and without multiplying over hops.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 
 struct Ingress {
     node: node::NodeReducer,
-    last: u64,
+    last_call: u64,
 }
 
 impl Ingress {
@@ -36,50 +36,50 @@
             let targets = vec![node::target(&name, "registru", 10)];
             node.hear(&identity, 1, targets);
         }
-        // Ejections are another matter.
+        // Ejection would remove targets from the choice.
         node.state.settings.tunables.health.ejected_percent = 0;
-        Self { node, last: 0 }
+        Self { node, last_call: 0 }
     }
 
     fn arrive(&mut self, method: &str, attempt: u32) -> calls::CallEffect {
-        self.last += 1;
+        self.last_call += 1;
         let arrival = calls::CallArrival {
             method: method.into(),
             attempt,
-            ..node::arrival(self.last, "/")
+            ..node::arrival(self.last_call, "/")
         };
-        self.only(calls::CallEvent::Arrived(arrival))
+        self.single_effect(calls::CallEvent::Arrived(arrival))
     }
 
     fn end(&mut self, result: calls::AttemptResult) -> calls::CallEffect {
-        let call = ids::CallId(self.last);
-        self.only(calls::CallEvent::AttemptEnded {
+        let call = ids::CallId(self.last_call);
+        self.single_effect(calls::CallEvent::AttemptEnded {
             call,
             result,
             report: calls::AttemptReport::default(),
         })
     }
 
-    fn only(&mut self, event: calls::CallEvent) -> calls::CallEffect {
+    fn single_effect(&mut self, event: calls::CallEvent) -> calls::CallEffect {
         let mut effects = self.node.call(event);
         assert_eq!(effects.len(), 1, "{effects:?}");
         effects.remove(0)
     }
 }
 
-/// What follows the end of a first try.
+/// What the ingress node does after the first attempt.
 #[derive(Debug, PartialEq)]
-enum Follow {
-    Again,
+enum FollowUp {
+    Retried,
     Refused(wire::CallOutcome),
-    Passed,
+    Forwarded,
 }
 
-fn follow(effect: &calls::CallEffect) -> Follow {
+fn follow_up(effect: &calls::CallEffect) -> FollowUp {
     match effect {
-        calls::CallEffect::Attempt(..) => Follow::Again,
-        calls::CallEffect::Refuse(_, refusal) => Follow::Refused(refusal.outcome),
-        _ => Follow::Passed,
+        calls::CallEffect::Attempt(..) => FollowUp::Retried,
+        calls::CallEffect::Refuse(_, refusal) => FollowUp::Refused(refusal.outcome),
+        _ => FollowUp::Forwarded,
     }
 }
 
@@ -88,19 +88,29 @@
     let failed = || wire::CallRefusal::unknown(code::ResultCode::TargetFailed);
     let full = || refused(code::ResultCode::CapacityExceeded);
     let answered = |status| calls::AttemptResult::Answered { status };
-    let not_run = Follow::Refused(wire::CallOutcome::NotRun);
-    let unknown = || Follow::Refused(wire::CallOutcome::Unknown);
+    let not_run = FollowUp::Refused(wire::CallOutcome::NotRun);
+    let unknown = || FollowUp::Refused(wire::CallOutcome::Unknown);
     let table = [
-        ("POST", 1, calls::AttemptResult::NotReached, Follow::Again),
+        (
+            "POST",
+            1,
+            calls::AttemptResult::NotReached,
+            FollowUp::Retried,
+        ),
         ("POST", 1, calls::AttemptResult::Lost, unknown()),
-        ("GET", 1, calls::AttemptResult::Lost, Follow::Again),
+        ("GET", 1, calls::AttemptResult::Lost, FollowUp::Retried),
         ("GET", 2, calls::AttemptResult::Lost, unknown()),
-        ("GET", 2, calls::AttemptResult::NotReached, Follow::Again),
+        (
+            "GET",
+            2,
+            calls::AttemptResult::NotReached,
+            FollowUp::Retried,
+        ),
         (
             "GET",
             1,
             calls::AttemptResult::Refused(failed()),
-            Follow::Again,
+            FollowUp::Retried,
         ),
         (
             "POST",
@@ -112,36 +122,36 @@
             "POST",
             1,
             calls::AttemptResult::Refused(full().elsewhere()),
-            Follow::Again,
+            FollowUp::Retried,
         ),
         ("GET", 1, calls::AttemptResult::Refused(full()), not_run),
-        ("GET", 1, answered(200), Follow::Passed),
-        ("GET", 1, answered(500), Follow::Passed),
-        ("GET", 1, answered(503), Follow::Again),
-        ("POST", 1, answered(503), Follow::Passed),
-        ("GET", 2, answered(503), Follow::Passed),
+        ("GET", 1, answered(200), FollowUp::Forwarded),
+        ("GET", 1, answered(500), FollowUp::Forwarded),
+        ("GET", 1, answered(503), FollowUp::Retried),
+        ("POST", 1, answered(503), FollowUp::Forwarded),
+        ("GET", 2, answered(503), FollowUp::Forwarded),
     ];
     for (method, attempt, result, expected) in table {
         let mut ingress = Ingress::new(3);
         ingress.arrive(method, attempt);
         let text = format!("{method} attempt {attempt} {result:?}");
-        assert_eq!(follow(&ingress.end(result)), expected, "{text}");
+        assert_eq!(follow_up(&ingress.end(result)), expected, "{text}");
     }
 }
 
 #[test]
 fn other_target_each_try() {
-    // The route's tries are those that a target was sent; nodes that took nothing are searched
-    // beyond them, a bounded number of times.
+    // The route's tries count attempts that were sent to a target. Attempts at nodes that were not
+    // reached come in addition, up to a bound.
     let declined = refused(code::ResultCode::TargetDeclined).elsewhere();
     let declined = calls::AttemptResult::Refused(declined);
-    let searched = settings::RetryTunables::default().leaving_placements as usize;
+    let placements = settings::RetryTunables::default().leaving_placements as usize;
     let table = [
         (declined, 3, "the route's tries"),
         (
             calls::AttemptResult::NotReached,
-            3 + searched,
-            "and the search for a place",
+            3 + placements,
+            "the route's tries and free placements",
         ),
     ];
     for (result, count, what) in table {
@@ -153,11 +163,11 @@
             effect = ingress.end(result.clone());
         }
         assert_eq!(tried.len(), count, "{what}");
-        assert_eq!(tried[2].1, 3, "the try's number travels along");
+        assert_eq!(tried[2].1, 3, "the offer carries the attempt number");
         let targets: indexmap::IndexSet<_> = tried.iter().map(|(target, _)| target).collect();
-        assert_eq!(targets.len(), count, "another target each time");
+        assert_eq!(targets.len(), count, "each attempt goes to another target");
         let calls::CallEffect::Refuse(_, refusal) = effect else {
-            panic!("no try is left: {effect:?}");
+            panic!("no attempt is left: {effect:?}");
         };
         assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
     }
@@ -170,8 +180,12 @@
     ingress.end(calls::AttemptResult::Lost);
     let full = refused(code::ResultCode::CapacityExceeded);
     let effect = ingress.end(calls::AttemptResult::Refused(full));
-    let unknown = Follow::Refused(wire::CallOutcome::Unknown);
-    assert_eq!(follow(&effect), unknown, "the first try may have run");
+    let unknown = FollowUp::Refused(wire::CallOutcome::Unknown);
+    assert_eq!(
+        follow_up(&effect),
+        unknown,
+        "the first attempt may have run"
+    );
 }
 
 #[test]
@@ -179,7 +193,7 @@
     let mut ingress = Ingress::new(1);
     ingress.arrive("GET", 1);
     let shed = calls::AttemptResult::Answered { status: 503 };
-    assert_eq!(follow(&ingress.end(shed)), Follow::Passed);
+    assert_eq!(follow_up(&ingress.end(shed)), FollowUp::Forwarded);
 }
 
 #[test]
@@ -188,62 +202,67 @@
     ingress.arrive("GET", 1);
     ingress.node.now = ingress.node.now + Duration::from_secs(5);
     let effect = ingress.end(calls::AttemptResult::NotReached);
-    assert_eq!(follow(&effect), Follow::Refused(wire::CallOutcome::NotRun));
+    assert_eq!(
+        follow_up(&effect),
+        FollowUp::Refused(wire::CallOutcome::NotRun)
+    );
 }
 
-/// Tries that `count` calls make when the share of `good` in ten of the first tries is answered.
-fn tries(ingress: &mut Ingress, count: u32, good: u32) -> u32 {
-    let mut tries = 0;
+/// Sends `count` calls, of which `successes` in ten are answered and the others lost at every
+/// attempt; returns the number of attempts.
+fn count_attempts(ingress: &mut Ingress, count: u32, successes: u32) -> u32 {
+    let mut attempts = 0;
     for number in 0..count {
         let mut effect = ingress.arrive("GET", 1);
-        let is_good = number % 10 < good;
+        let is_success = number % 10 < successes;
         while let calls::CallEffect::Attempt(..) = effect {
-            tries += 1;
-            effect = if is_good {
+            attempts += 1;
+            effect = if is_success {
                 ingress.end(calls::AttemptResult::Answered { status: 200 })
             } else {
                 ingress.end(calls::AttemptResult::Lost)
             };
         }
-        let call = ids::CallId(ingress.last);
+        let call = ids::CallId(ingress.last_call);
         ingress.node.call(calls::CallEvent::Finished(call));
     }
-    tries
+    attempts
 }
 
 #[test]
 fn budget_kept() {
     let mut ingress = Ingress::new(3);
     assert_eq!(
-        tries(&mut ingress, 1000, 0),
+        count_attempts(&mut ingress, 1000, 0),
         1003,
-        "the reserve and no more"
+        "the initial budget and no more"
     );
     let mut ingress = Ingress::new(3);
-    let half = tries(&mut ingress, 1000, 5);
+    let half = count_attempts(&mut ingress, 1000, 5);
     let range = 1050..=1053;
     assert!(
         range.contains(&half),
-        "a tenth of the good ones, and the reserve: {half}"
+        "a tenth of the successful calls, and the initial budget: {half}"
     );
 }
 
 #[test]
 fn leaving_costs_none() {
     let mut ingress = Ingress::new(3);
-    tries(&mut ingress, 10, 0);
+    count_attempts(&mut ingress, 10, 0);
     let leaving = refused(code::ResultCode::NodeStopping).elsewhere();
     let leaving = calls::AttemptResult::Refused(leaving);
     for result in [leaving, calls::AttemptResult::NotReached] {
         ingress.arrive("POST", 2);
         let effect = ingress.end(result);
-        assert_eq!(follow(&effect), Follow::Again, "the budget is spent");
+        assert_eq!(follow_up(&effect), FollowUp::Retried, "the budget is spent");
     }
 }
 
 #[test]
 fn nine_hops() {
-    // A chain whose hops each see what the next one answers; the deepest service fails whole.
+    // In a chain of services, each hop receives the status of the next one; all runs of the last
+    // service fail.
     const HOPS: usize = 9;
     const CALLS: u32 = 500;
     let mut hops: Vec<Ingress> = (0..HOPS).map(|_| Ingress::new(3)).collect();
@@ -257,7 +276,7 @@
     assert!(sent[HOPS - 1] * 10 < CALLS * 12, "{sent:?}");
 }
 
-/// Sends a call at one hop; returns the status that its caller sees.
+/// Sends a call at one hop; returns the status that its caller receives.
 fn call_hop(hops: &mut [Ingress], sent: &mut [u32], depth: usize, attempt: u32) -> u16 {
     let mut effect = hops[depth].arrive("GET", attempt);
     loop {
@@ -266,7 +285,7 @@
         };
         sent[depth] += 1;
         let attempt = plan.offer.attempt;
-        let call = ids::CallId(hops[depth].last);
+        let call = ids::CallId(hops[depth].last_call);
         let result = if depth + 1 == hops.len() {
             calls::AttemptResult::Refused(wire::CallRefusal::unknown(
                 code::ResultCode::TargetFailed,
@@ -275,7 +294,7 @@
             let status = call_hop(hops, sent, depth + 1, attempt);
             calls::AttemptResult::Answered { status }
         };
-        effect = hops[depth].only(calls::CallEvent::AttemptEnded {
+        effect = hops[depth].single_effect(calls::CallEvent::AttemptEnded {
             call,
             result,
             report: calls::AttemptReport::default(),
@@ -287,9 +306,9 @@
 }
 
 #[test]
-fn reserve_is_most() {
+fn budget_capped() {
     let tunables = settings::RetryTunables::default();
-    let mut budget = retry::RetryBudget::new(retry::BudgetTerms::of_retries(&tunables));
+    let mut budget = retry::RetryBudget::new(retry::BudgetPolicy::for_retries(&tunables));
     (0..10_000).for_each(|_| budget.earn());
     let spent = (0..1000).filter(|_| budget.spend()).count();
     assert_eq!(spent as u64, tunables.budget_reserve);
