--- a/crates/engine/tests/replication.rs
+++ b/crates/engine/tests/replication.rs
@@ -1,4 +1,4 @@
-//! The replicated log under lost, doubled, late and crossed messages, crashes and lost disks.
+//! Replication under lost, duplicated, delayed and reordered messages, crashes and lost disks.
 
 #[path = "replication/failing_disk.rs"]
 mod failing_disk;
@@ -17,15 +17,15 @@
 use network::FakeNetwork;
 use proptest::{collection, prelude::*, test_runner};
 
-/// Takes one random step; `one` and `other` choose what it is about.
+/// Takes a random step. `kind` selects the action; `one` and `other` select its arguments.
 fn random_step(network: &mut FakeNetwork, kind: u8, one: usize, other: usize) {
     let count = network.controls.len();
     let index = one % count;
-    let waiting = network.messages.len().max(1);
+    let in_transit = network.messages.len().max(1);
     match kind {
-        0..=29 => network.deliver(other % waiting, true),
+        0..=29 => network.deliver(other % in_transit, true),
         30..=49 => network.deliver(0, true),
-        50..=54 => network.deliver(other % waiting, false),
+        50..=54 => network.deliver(other % in_transit, false),
         55..=60 => {
             if other < network.messages.len() {
                 network.messages.remove(other);
@@ -41,9 +41,9 @@
         93 => network.crash(index, other % 3),
         94..=96 => network.restart(index),
         97 => {
-            network.cut.insert((index, other % count));
+            network.blocked_links.insert((index, other % count));
         }
-        _ => network.cut.clear(),
+        _ => network.blocked_links.clear(),
     }
 }
 
@@ -56,20 +56,20 @@
     network.settle(40);
     assert!(
         network.leader().is_some(),
-        "a group that is whole has a leader"
+        "a group without faults has a leader"
     );
     for (kind, one, other) in steps {
         random_step(&mut network, kind, one, other);
     }
-    network.cut.clear();
+    network.blocked_links.clear();
     (0..count).for_each(|index| network.restart(index));
-    let last = network.change("last");
+    let last = network.commit_change("last");
     network.settle(300);
     for index in 0..count {
         assert_eq!(
             network.version(index),
             last.version,
-            "all hold the last change"
+            "all replicas hold the last change"
         );
     }
 }
@@ -112,15 +112,15 @@
 }
 
 #[test]
-fn second_loss() {
+fn sequential_voter_loss() {
     let mut network = FakeNetwork::new(3);
     for number in 0..40 {
-        network.change(&format!("before-{number}"));
+        network.commit_change(&format!("before-{number}"));
     }
-    let leader = network.leader().expect("the group is whole");
+    let leader = network.leader().expect("the group has a leader");
     let (lost, second) = ((leader + 1) % 3, (leader + 2) % 3);
-    network.empty(lost, false);
-    network.change("while-emptied");
+    network.wipe(lost, false);
+    network.commit_change("while-emptied");
     let early = network.change_group(
         leader,
         replication::GroupChange::Add(network::instance(lost)),
@@ -128,7 +128,7 @@
     assert_eq!(
         refusal(&network, early),
         Some(code::ResultCode::MemberUnsuitable),
-        "the old folder still has the vote"
+        "the replica of the lost disk is still a voter"
     );
     for change in [
         replication::GroupChange::Remove,
@@ -144,56 +144,56 @@
         );
     }
     network.crash(second, 0);
-    let last = network.change("after-second-loss");
+    let last = network.commit_change("after-second-loss");
     assert_eq!(last.version, ids::CatalogueVersion(42));
     assert_eq!(
         network.version(lost),
         last.version,
-        "the repaired one holds everything"
+        "the replacement holds all changes"
     );
     network.crash(leader, 0);
     network.restart(second);
     network.settle(100);
     assert_eq!(
-        network.change("by-the-others").version,
+        network.commit_change("by-the-others").version,
         ids::CatalogueVersion(43)
     );
 }
 
 #[test]
-fn emptied_votes() {
+fn wiped_voter_excluded() {
     let mut network = FakeNetwork::new(3);
-    network.change("first");
-    let leader = network.leader().expect("the group is whole");
-    let (emptied, cut_off) = ((leader + 1) % 3, (leader + 2) % 3);
-    network.cut_off(cut_off);
-    network.change("second");
+    network.commit_change("first");
+    let leader = network.leader().expect("the group has a leader");
+    let (wiped, isolated) = ((leader + 1) % 3, (leader + 2) % 3);
+    network.isolate(isolated);
+    network.commit_change("second");
     network.crash(leader, 0);
-    network.empty(emptied, true);
-    network.cut.clear();
+    network.wipe(wiped, true);
+    network.blocked_links.clear();
     network.settle(200);
     assert_eq!(
         network.leader(),
         None,
-        "an emptied folder's vote would have let the one that lacks a change lead"
+        "with a wiped replica's vote a replica that lacks a committed change would have become leader"
     );
 }
 
 #[test]
-fn silent_leader() {
+fn isolated_leader() {
     let mut network = FakeNetwork::new(3);
-    network.change("first");
-    let old = network.leader().expect("the group is whole");
-    network.cut_off(old);
+    network.commit_change("first");
+    let old = network.leader().expect("the group has a leader");
+    network.isolate(old);
     let unknown = network.propose(old, "lost", 1);
     network.settle(15);
     network.settle(100);
-    let last = network.change("second");
+    let last = network.commit_change("second");
     assert_eq!(last.version, ids::CatalogueVersion(2));
     assert_eq!(
         network.answers.get(&unknown),
         Some(&replication::ProposalAnswer::Unknown),
-        "it was in the log of a leader that lost its majority"
+        "the change is in the log of a leader that lost its majority"
     );
     assert!(!replication::is_proven_current(
         &network.controls[old].state
@@ -201,45 +201,45 @@
     let first = network.propose(old, "first", 0);
     assert!(
         accepted(&network, first),
-        "what is committed is known without a leader"
+        "a committed change is acknowledged without a leader"
     );
     let resent = network.propose(old, "lost", 1);
     let unknown = Some(&replication::ProposalAnswer::Unknown);
     assert_eq!(
         network.answers.get(&resent),
         unknown,
-        "it is in the log and may yet be committed"
+        "the change is in the log and may still be committed"
     );
     let late = network.propose(old, "late", 1);
     assert_eq!(
         refusal(&network, late),
         Some(code::ResultCode::LeaderUnknown)
     );
-    network.cut.clear();
+    network.blocked_links.clear();
     network.settle(50);
     assert!(replication::is_proven_current(&network.controls[old].state));
-    let resent = network.change("lost");
+    let resent = network.commit_change("lost");
     assert_eq!(
         resent.version,
         ids::CatalogueVersion(3),
-        "resending settles it"
+        "a resend commits the change"
     );
 }
 
 #[test]
-fn snapshot_lost() {
+fn lost_snapshot_resent() {
     let mut network = FakeNetwork::new(3);
-    network.change("first");
-    let leader = network.leader().expect("the group is whole");
+    network.commit_change("first");
+    let leader = network.leader().expect("the group has a leader");
     let (lagging, other) = ((leader + 1) % 3, (leader + 2) % 3);
     network.crash(lagging, 0);
     for number in 0..40 {
-        network.change(&format!("change-{number}"));
+        network.commit_change(&format!("change-{number}"));
     }
     network.crash(other, 0);
     network.restart(lagging);
     let term = network.term(leader);
-    // Whatever is large is lost, again and again; signs of life pass.
+    // Every snapshot is lost, while heartbeats get through.
     for _ in 0..50 {
         network.tick(Duration::from_millis(20));
         network.drop_snapshots();
@@ -249,26 +249,26 @@
     assert_eq!(
         network.leader(),
         Some(leader),
-        "it hears a majority all the same"
+        "heartbeats alone keep the majority"
     );
     network.settle(150);
     assert_eq!(network.term(leader), term, "no election was needed");
     assert_eq!(
         network.version(lagging),
         network.version(leader),
-        "the snapshot is sent again"
+        "the snapshot is resent"
     );
 }
 
 #[test]
-fn equal_versions() {
+fn concurrent_proposals() {
     let mut network = FakeNetwork::new(3);
-    network.change("first");
-    let leader = network.leader().expect("the group is whole");
+    network.commit_change("first");
+    let leader = network.leader().expect("the group has a leader");
     let numbers = ["ana", "ion", "ana"].map(|id| network.propose(leader, id, 1));
     assert!(
         network.answers.get(&numbers[1]).is_none(),
-        "a refusal rests on what is not kept yet"
+        "a rejection depends on an entry that is not committed yet"
     );
     network.settle(10);
     assert!(accepted(&network, numbers[0]) && accepted(&network, numbers[2]));
@@ -287,29 +287,29 @@
 #[test]
 fn second_bootstrap() {
     let mut network = FakeNetwork::new(3);
-    network.change("first");
-    let leader = network.leader().expect("the group is whole");
-    let emptied = (leader + 1) % 3;
-    network.empty(emptied, true);
+    network.commit_change("first");
+    let leader = network.leader().expect("the group has a leader");
+    let wiped = (leader + 1) % 3;
+    network.wipe(wiped, true);
     network.settle(100);
-    let view = replication::GroupView::of(&network.controls[emptied].state);
-    let view = view.expect("it is a control");
+    let view = replication::GroupView::of(&network.controls[wiped].state);
+    let view = view.expect("the process has the control role");
     assert_eq!(view.role, "learner");
     assert_eq!(
-        network.version(emptied),
+        network.version(wiped),
         ids::CatalogueVersion(1),
-        "it follows all the same"
+        "the wiped replica follows as a learner"
     );
 }
 
-/// A control whose disk held a group of three and two entries of term 1.
+/// Commits a first change in a group of three and returns the leader of the first term.
 fn old_leader(network: &mut FakeNetwork) -> usize {
-    network.change("first");
-    network.leader().expect("the group is whole")
+    network.commit_change("first");
+    network.leader().expect("the group has a leader")
 }
 
 #[test]
-fn older_term() {
+fn older_term_commit() {
     let mut network = FakeNetwork::new(3);
     let old = old_leader(&mut network);
     let (next, third) = ((old + 1) % 3, (old + 2) % 3);
@@ -319,49 +319,45 @@
         network.sync(other);
     }
     network.crash(old, 0);
-    network.lead(next, third);
-    let held = network.last(third);
-    network.answer_as(third, next, held);
+    network.elect(next, third);
+    let matched = network.last(third);
+    network.acknowledge_as(third, next, matched);
     assert_eq!(
         network.version(next),
         ids::CatalogueVersion(1),
-        "an entry of an older term is not committed by counting who keeps it"
+        "an entry of an older term is not committed by counting replicas"
     );
     assert!(!network.answers.contains_key(&number));
     network.settle(50);
     assert_eq!(
         network.version(next),
         ids::CatalogueVersion(2),
-        "the new term's entry commits it"
+        "the first entry of the new term commits it"
     );
 }
 
 #[test]
-fn shorter_log() {
+fn shorter_log_denied() {
     let mut network = FakeNetwork::new(3);
     let old = old_leader(&mut network);
     let (next, third) = ((old + 1) % 3, (old + 2) % 3);
-    network.cut_off(third);
-    network.change("second");
+    network.isolate(third);
+    network.commit_change("second");
     network.crash(old, 0);
-    network.cut.clear();
+    network.blocked_links.clear();
     network.messages.clear();
-    let (pre_vote, vote) = network.ask_votes(third, next);
-    assert_eq!(
-        pre_vote,
-        Some(false),
-        "not even a pre-vote for a shorter log"
-    );
+    let (pre_vote, vote) = network.request_votes(third, next);
+    assert_eq!(pre_vote, Some(false), "no pre-vote for a shorter log");
     assert_eq!(vote, Some(false), "no vote for a shorter log");
-    let (pre_vote, vote) = network.ask_votes(next, third);
+    let (pre_vote, vote) = network.request_votes(next, third);
     assert_eq!((pre_vote, vote), (Some(true), Some(true)));
     network.sync(third);
-    let (_, other) = network.ask_votes_as(next, third, ids::ReplicaId(99));
-    assert_eq!(other, Some(false), "one vote a term");
+    let (_, other) = network.request_votes_as(next, third, ids::ReplicaId(99));
+    assert_eq!(other, Some(false), "one vote per term");
 }
 
 #[test]
-fn unsynced_silence() {
+fn unsynced_not_acknowledged() {
     let mut network = FakeNetwork::new(3);
     let leader = old_leader(&mut network);
     let follower = (leader + 1) % 3;
@@ -369,15 +365,15 @@
     network.propose(leader, "second", 1);
     network.deliver_between(leader, follower);
     assert!(
-        !network.has_answer(follower),
-        "nothing is said before the disk has it"
+        !network.has_acknowledged(follower),
+        "no acknowledgement before the sync"
     );
     network.sync(follower);
-    assert!(network.has_answer(follower));
+    assert!(network.has_acknowledged(follower));
 }
 
 #[test]
-fn held_up() {
+fn delayed_heartbeats() {
     let mut network = FakeNetwork::new(3);
     let leader = old_leader(&mut network);
     let follower = (leader + 1) % 3;
@@ -385,38 +381,38 @@
     assert!(replication::is_proven_current(
         &network.controls[follower].state
     ));
-    // Signs of life that were held up on the way arrive after the group has gone on.
+    // Heartbeats that were delayed in the network arrive after the group has moved on.
     network.tick(Duration::from_millis(120));
-    let held: Vec<_> = network.take_messages(leader, follower);
-    network.cut_off(follower);
+    let delayed: Vec<_> = network.take_messages(leader, follower);
+    network.isolate(follower);
     network.settle(100);
-    network.change("second");
-    network.cut.clear();
-    network.messages = held;
+    network.commit_change("second");
+    network.blocked_links.clear();
+    network.messages = delayed;
     (0..network.messages.len()).for_each(|_| network.deliver(0, true));
     assert!(
         !replication::is_proven_current(&network.controls[follower].state),
-        "an old sign of life proves nothing"
+        "a delayed heartbeat proves nothing"
     );
 }
 
 #[test]
-fn large_changes() {
+fn large_changes_split() {
     let mut network = FakeNetwork::new(3);
     for control in &mut network.controls {
-        // No snapshot stands in for the entries that are missed.
+        // Without snapshots the lagging follower must receive all entries.
         control.state.settings.tunables.replication.snapshot_entries = 10_000;
     }
     network.settle(40);
-    network.change("first");
-    let leader = network.leader().expect("the group is whole");
+    network.commit_change("first");
+    let leader = network.leader().expect("the group has a leader");
     let behind = (leader + 1) % 3;
-    network.cut_off(behind);
+    network.isolate(behind);
     let last = (0..24)
-        .map(|number| network.change(&format!("large-{number}")))
+        .map(|number| network.commit_change(&format!("large-{number}")))
         .last();
-    network.cut.clear();
-    // Each message is checked against the largest frame when it is sent.
+    network.blocked_links.clear();
+    // The network checks each message that is sent against the largest frame.
     network.settle(100);
     assert_eq!(Some(network.version(behind)), last.map(|last| last.version));
 }
@@ -428,10 +424,10 @@
 }
 
 #[test]
-fn replaced_whole() {
+fn catalogue_replaced() {
     let mut network = FakeNetwork::new(3);
     network.settle(40);
-    let leader = network.leader().expect("the group is whole");
+    let leader = network.leader().expect("the group has a leader");
     let first = network.replace(leader, 5, 0, "first");
     let race = ["one", "other"].map(|document| network.replace(leader, 7, 5, document));
     network.settle(10);
@@ -439,7 +435,7 @@
     assert_eq!(
         refusal(&network, race[1]),
         Some(code::ResultCode::RevisionClash),
-        "equal labels, one base: one wins"
+        "of two replacements with the same label and base one wins"
     );
     assert_eq!(document(&mut network), Some((7, "one".into())));
     let again = [(5, 0, "first"), (7, 5, "one")]
@@ -448,12 +444,15 @@
     network.settle(10);
     assert!(
         again.iter().all(|number| accepted(&network, *number)),
-        "resends"
+        "resends are acknowledged"
     );
     assert_eq!(refusal(&network, old), Some(code::ResultCode::RevisionOld));
     let entries = network.controls[leader].state.replication.as_ref();
-    let entries = &entries.expect("it is a control").committed().entries;
-    assert_eq!(entries.len(), 3, "nothing of the first document is left");
+    let entries = &entries
+        .expect("the process has the control role")
+        .committed()
+        .entries;
+    assert_eq!(entries.len(), 3, "no entry of the first document is left");
 }
 
 #[test]
@@ -462,7 +461,7 @@
     network.settle(40);
     let mut base = 0;
     for label in 1..60 {
-        let leader = network.leader().expect("the group is whole");
+        let leader = network.leader().expect("the group has a leader");
         let number = network.replace(leader, label, base, &format!("document-{label}"));
         network.settle(5);
         assert!(accepted(&network, number), "{label}");
@@ -474,19 +473,19 @@
     assert_eq!(document(&mut network), Some((59, "document-59".into())));
 }
 
-/// A leader is suspended with its clock; others lead on. When it wakes it believes that it has just
-/// heard a majority.
+/// Guards against stale reads. A leader is suspended, its clock included, while the others elect a
+/// new leader; on waking it still believes that it heard from a majority a moment ago.
 #[test]
 fn suspended_leader_reads() {
     let mut network = FakeNetwork::new(3);
     network.settle(40);
-    let old = network.leader().expect("the group is whole");
+    let old = network.leader().expect("the group has a leader");
     let first = network.replace(old, 1, 0, "first");
     network.settle(20);
     assert!(accepted(&network, first));
     network.suspend(old);
     network.settle(200);
-    let new = network.leader().expect("two of three go on");
+    let new = network.leader().expect("two of three replicas are left");
     assert_ne!(new, old);
     let second = network.replace(new, 2, 1, "second");
     network.settle(20);
@@ -496,7 +495,7 @@
     assert_eq!(
         network.answers.get(&read),
         None,
-        "nothing proves that it leads"
+        "the read waits until leadership is confirmed"
     );
     network.settle(50);
     assert!(
@@ -504,16 +503,16 @@
             network.answers.get(&read),
             Some(replication::ProposalAnswer::Current { revision, .. }) if revision.label.0 < 2
         ),
-        "an older revision is told"
+        "an outdated revision was returned"
     );
 }
 
-/// All controls lose power and come back: the group leads again within half a second, and a node that asked
-/// meanwhile is told the floor without asking again.
+/// After a power loss of all controls the group has a leader again within half a second, and a node
+/// that asked for the floor meanwhile is answered without asking again.
 #[test]
-fn return_told() {
+fn power_loss_recovered() {
     let mut network = FakeNetwork::new(3);
-    let receipt = network.change("first");
+    let receipt = network.commit_change("first");
     for index in 0..3 {
         network.crash(index, 0);
     }
@@ -525,15 +524,15 @@
     }
     assert!(
         network
-            .floors
+            .floor_answers
             .iter()
             .all(|floor| floor.proof == FloorProof::Control)
     );
     network.settle(25);
     let is_proven = |floor: &&FloorAnswer| floor.proof == FloorProof::Majority;
-    let told = network.floors.iter().find(is_proven);
+    let told = network.floor_answers.iter().find(is_proven);
     assert_eq!(
-        told.expect("a control can prove it").version,
+        told.expect("a control has heard from a majority").version,
         receipt.version
     );
 }
--- a/crates/engine/tests/replication/failing_disk.rs
+++ b/crates/engine/tests/replication/failing_disk.rs
@@ -1,4 +1,4 @@
-//! Disks that refuse writes for a time while the group goes on, loses others and is led anew.
+//! Disks that fail writes for a while, in a group that loses other members or changes its leader.
 
 use hazeltiller_engine::{event, reducer, replication};
 use hazeltiller_units::code;
@@ -10,10 +10,10 @@
 #[test]
 fn failed_disk() {
     let mut network = FakeNetwork::new(3);
-    network.change("first");
-    let old = network.leader().expect("the group is whole");
+    network.commit_change("first");
+    let old = network.leader().expect("the group has a leader");
     let number = network.propose(old, "second", 1);
-    network.controls[old].disk.is_refusing = true;
+    network.controls[old].disk.is_failing = true;
     let failed = event::Event::Replication(replication::ReplicationEvent::StoreFailed);
     let now = network.now;
     let effects = reducer::reduce(&mut network.controls[old].state, now, failed);
@@ -22,111 +22,116 @@
             number: one, answer: replication::ProposalAnswer::Unknown,
         }) if one.0 == number)
     });
-    assert!(unknown, "the change may be on other disks");
+    assert!(unknown, "the change may be on the other disks");
     network.settle(100);
-    let new = network.leader().expect("two of three are well");
+    let new = network.leader().expect("two of three disks work");
     assert_ne!(new, old);
-    let refused = network.propose(old, "third", 1);
+    let rejected = network.propose(old, "third", 1);
     assert_eq!(
-        refusal(&network, refused),
+        refusal(&network, rejected),
         Some(code::ResultCode::StoreFailed)
     );
 }
 
-/// Has the leader's disk refuse a change; returns which control it is.
-fn leader_refused(network: &mut FakeNetwork) -> usize {
-    network.change("first");
-    let leader = network.leader().expect("the group is whole");
-    network.controls[leader].disk.is_refusing = true;
+/// Makes the leader's disk fail during a proposal and returns the leader.
+fn fail_leader_disk(network: &mut FakeNetwork) -> usize {
+    network.commit_change("first");
+    let leader = network.leader().expect("the group has a leader");
+    network.controls[leader].disk.is_failing = true;
     network.propose(leader, "refused", 1);
     leader
 }
 
-/// Three voters. The leader's disk refuses for a while, the other two go on; it takes writes again.
-/// Then one of the two comes back with an empty disk: two of three votes are on disks that are
-/// there, so the group must be led, tell what it acknowledged, and heal.
+/// The leader's disk of three voters fails for a while and recovers. Then another voter comes back
+/// with an empty disk. Two of three voters still have their logs, so the group must elect a leader,
+/// return what it acknowledged, and replace the lost voter.
 #[test]
-fn full_disk_returns() {
-    let mut network = FakeNetwork::healing(3);
-    let full = leader_refused(&mut network);
+fn full_disk_recovers() {
+    let mut network = FakeNetwork::self_healing(3);
+    let failed = fail_leader_disk(&mut network);
     network.settle(100);
-    let acknowledged = network.change("meanwhile");
-    network.controls[full].disk.is_refusing = false;
+    let acknowledged = network.commit_change("meanwhile");
+    network.controls[failed].disk.is_failing = false;
     network.settle(400);
-    let emptied = (full + 1) % 3;
-    network.empty(emptied, false);
+    let wiped = (failed + 1) % 3;
+    network.wipe(wiped, false);
     network.settle(400);
-    let leader = network.leader().expect("two of three have their disks");
+    let leader = network
+        .leader()
+        .expect("two of three replicas have their logs");
     assert!(network.version(leader) >= acknowledged.version);
-    assert!(network.revision(leader).is_some(), "it is told");
+    assert!(
+        network.revision(leader).is_some(),
+        "the revision can be read"
+    );
     let voters = network.voters(leader);
     assert!(
-        voters.contains(&network.replica(emptied)),
-        "its vote is back"
+        voters.contains(&network.replica(wiped)),
+        "the wiped instance is a voter again"
     );
-    network.change("last");
+    network.commit_change("last");
 }
 
-/// A leader whose disk refuses leads no more, and one whose disk goes on refusing does not come back.
+/// A leader whose disk fails steps down, and a replica whose disk still fails grants no vote.
 #[test]
-fn refusal_lasts() {
+fn lasting_disk_failure() {
     let mut network = FakeNetwork::new(3);
-    let full = leader_refused(&mut network);
+    let failed = fail_leader_disk(&mut network);
     network.settle(500);
-    let leader = network.leader().expect("two of three are well");
-    assert_ne!(leader, full);
-    let view = replication::GroupView::of(&network.controls[full].state);
-    assert!(view.expect("it is a control").has_failed);
-    network.cut_off(leader);
+    let leader = network.leader().expect("two of three disks work");
+    assert_ne!(leader, failed);
+    let view = replication::GroupView::of(&network.controls[failed].state);
+    assert!(view.expect("the process has the control role").has_failed);
+    network.isolate(leader);
     network.settle(200);
-    let well = (0..3).find(|index| *index != leader && *index != full);
-    let refused = network.propose(well.expect("there are three"), "lone", 2);
+    let healthy = (0..3).find(|index| *index != leader && *index != failed);
+    let rejected = network.propose(healthy.expect("the group has three replicas"), "lone", 2);
     network.settle(10);
     assert_eq!(
-        refusal(&network, refused),
+        refusal(&network, rejected),
         Some(code::ResultCode::LeaderUnknown),
-        "a disk that refuses gives no vote"
+        "a replica with a failed disk grants no vote"
     );
 }
 
-/// A process that dies while its disk refuses has what its disk kept before, and no more.
+/// A process that crashes while its disk fails recovers what was synced before, and nothing else.
 #[test]
-fn dies_while_refusing() {
+fn crash_during_failure() {
     let mut network = FakeNetwork::new(3);
-    let full = leader_refused(&mut network);
+    let failed = fail_leader_disk(&mut network);
     network.settle(100);
-    let acknowledged = network.change("meanwhile");
-    network.crash(full, 9);
-    network.controls[full].disk.is_refusing = false;
-    network.restart(full);
+    let acknowledged = network.commit_change("meanwhile");
+    network.crash(failed, 9);
+    network.controls[failed].disk.is_failing = false;
+    network.restart(failed);
     network.settle(200);
-    assert!(network.version(full) >= acknowledged.version);
+    assert!(network.version(failed) >= acknowledged.version);
 }
 
 proptest! {
     #![proptest_config(fixed_cases(200))]
 
-    /// Disks refuse and take writes again among lost messages, cuts and crashes, any number at once.
+    /// Any number of disks fail and recover amid lost messages, partitions and crashes.
     #[test]
-    fn any_refuse(steps in collection::vec((0..106_u8, 0..60_usize, 0..60_usize), 600), count in 3..=5_usize) {
+    fn random_disk_failures(steps in collection::vec((0..106_u8, 0..60_usize, 0..60_usize), 600), count in 3..=5_usize) {
         let mut network = FakeNetwork::new(count);
         network.settle(40);
         for (kind, one, other) in steps {
             match kind {
-                100..=102 => network.controls[one % count].disk.is_refusing = true,
-                103..=105 => network.controls[one % count].disk.is_refusing = false,
+                100..=102 => network.controls[one % count].disk.is_failing = true,
+                103..=105 => network.controls[one % count].disk.is_failing = false,
                 _ => random_step(&mut network, kind, one, other),
             }
         }
-        network.cut.clear();
+        network.blocked_links.clear();
         for index in 0..count {
-            network.controls[index].disk.is_refusing = false;
+            network.controls[index].disk.is_failing = false;
             network.restart(index);
         }
-        let last = network.change("last");
+        let last = network.commit_change("last");
         network.settle(300);
         for index in 0..count {
-            prop_assert_eq!(network.version(index), last.version, "all hold the last change");
+            prop_assert_eq!(network.version(index), last.version, "all replicas hold the last change");
         }
     }
 }
--- a/crates/engine/tests/replication/healing.rs
+++ b/crates/engine/tests/replication/healing.rs
@@ -1,75 +1,78 @@
-//! A group that replaces lost voters by itself.
+//! Automatic replacement of lost voters.
 
 use proptest::{collection, prelude::*, test_runner};
 
 use super::{network::FakeNetwork, random_step, random_steps};
 
 #[test]
-fn emptied_disk_healed() {
-    let mut network = FakeNetwork::healing(3);
-    network.change("first");
+fn wiped_voter_replaced() {
+    let mut network = FakeNetwork::self_healing(3);
+    network.commit_change("first");
     for round in 0..6 {
         let index = round % 3;
-        network.empty(index, false);
+        network.wipe(index, false);
         network.settle(400);
-        let leader = network.leader().expect("two of three go on");
+        let leader = network.leader().expect("two of three replicas are left");
         let voters = network.voters(leader);
         assert_eq!(voters.len(), 3, "round {round}");
         assert!(
             voters.contains(&network.replica(index)),
-            "the new replica votes, round {round}"
+            "the new replica is a voter, round {round}"
         );
-        network.change(&format!("change-{round}"));
+        network.commit_change(&format!("change-{round}"));
     }
     assert_eq!(
         network.acknowledged.len(),
         7,
-        "each is checked at every step"
+        "all changes were acknowledged and checked at every step"
     );
 }
 
 #[test]
-fn reserve_takes_over() {
-    let mut network = FakeNetwork::healing(4);
-    network.change("first");
-    let leader = network.leader().expect("the founders lead");
+fn reserve_promoted() {
+    let mut network = FakeNetwork::self_healing(4);
+    network.commit_change("first");
+    let leader = network.leader().expect("an initial voter leads");
     assert_eq!(network.voters(leader).len(), 3);
     let lost = network.replica((leader + 1) % 3);
     network.crash((leader + 1) % 3, 0);
     network.settle(300);
-    let leader = network.leader().expect("two of three go on");
+    let leader = network.leader().expect("two of three replicas are left");
     let voters = network.voters(leader);
-    assert!(!voters.contains(&lost), "its vote went");
-    assert!(voters.contains(&network.replica(3)), "the reserve has it");
-    // So a second loss does not stop the group.
-    let second = (0..4).find(|index| *index != leader && network.controls[*index].is_up);
-    network.crash(second.expect("three are up"), 0);
-    network.change("after-two-losses");
+    assert!(!voters.contains(&lost), "the silent voter is removed");
+    assert!(
+        voters.contains(&network.replica(3)),
+        "the reserve replica is promoted"
+    );
+    // The group therefore survives a second loss.
+    let second = (0..4).find(|index| *index != leader && network.controls[*index].is_running);
+    network.crash(second.expect("three replicas are running"), 0);
+    network.commit_change("after-two-losses");
 }
 
 #[test]
 fn lost_voter_returns() {
-    let mut network = FakeNetwork::healing(4);
-    network.change("first");
-    let leader = network.leader().expect("the founders lead");
+    let mut network = FakeNetwork::self_healing(4);
+    network.commit_change("first");
+    let leader = network.leader().expect("an initial voter leads");
     let index = (leader + 1) % 3;
     network.crash(index, 0);
     network.settle(300);
     network.restart(index);
     network.settle(300);
-    let last = network.change("last");
+    let last = network.commit_change("last");
     network.settle(100);
     assert_eq!(
         network.version(index),
         last.version,
-        "it follows without a vote"
+        "the returned replica follows as a learner"
     );
 }
 
-/// One disk is lost at a time, and the next only once a vote has moved to its successor; messages
-/// are lost, doubled and late, and processes crash all the while.
+/// Disks are lost one at a time, the next only after the previous voter has been replaced, while
+/// messages are lost, duplicated and delayed and processes crash.
 #[test]
-fn healing_loses_nothing() {
+fn healing_keeps_changes() {
     let mut runner = test_runner::TestRunner::new(test_runner::Config {
         cases: 60,
         rng_seed: test_runner::RngSeed::Fixed(11),
@@ -79,47 +82,47 @@
     let strategy = (collection::vec(random_steps(60), 4), 3..=4_usize);
     runner
         .run(&strategy, |(rounds, count)| {
-            let mut network = FakeNetwork::healing(count);
+            let mut network = FakeNetwork::self_healing(count);
             network.settle(80);
             for (round, steps) in rounds.into_iter().enumerate() {
                 for (kind, one, other) in steps {
                     random_step(&mut network, kind, one, other);
                 }
-                network.cut.clear();
+                network.blocked_links.clear();
                 (0..count).for_each(|index| network.restart(index));
                 network.settle(400);
-                let leader = network.leader().expect("all are back");
+                let leader = network.leader().expect("all replicas are running");
                 let disks: Vec<_> = (0..count).map(|index| network.replica(index)).collect();
                 let voters = network.voters(leader);
                 prop_assert_eq!(voters.len(), 3);
                 prop_assert!(voters.iter().all(|voter| disks.contains(voter)));
-                network.empty(round % count, false);
+                network.wipe(round % count, false);
                 network.settle(50);
             }
             network.settle(400);
-            network.change("last");
+            network.commit_change("last");
             Ok(())
         })
-        .expect("nothing acknowledged is lost");
+        .expect("no acknowledged change is lost");
 }
 
-/// The instances that everyone was told of lose their disks one after another until one that nobody
-/// was told of leads.
+/// All instances listed in the settings lose their disks one after another, until the leader is one
+/// that no settings list.
 #[test]
-fn untold_leader_found() {
-    let mut network = FakeNetwork::healing(4);
-    network.change("first");
+fn unlisted_leader_found() {
+    let mut network = FakeNetwork::self_healing(4);
+    network.commit_change("first");
     for index in 0..3 {
-        network.empty(index, false);
+        network.wipe(index, false);
         network.settle(400);
-        let leader = network.leader().expect("the others go on");
+        let leader = network.leader().expect("the other replicas are left");
         assert_eq!(network.voters(leader).len(), 3);
         let disks: Vec<_> = (0..4).map(|index| network.replica(index)).collect();
         let voters = network.voters(leader);
         assert!(
             voters.iter().all(|voter| disks.contains(voter)),
-            "no vote is with a lost disk, {index}"
+            "a lost disk still has a vote, {index}"
         );
     }
-    network.change("last");
+    network.commit_change("last");
 }
--- a/crates/engine/tests/replication/messages.rs
+++ b/crates/engine/tests/replication/messages.rs
@@ -1,4 +1,4 @@
-//! Single messages of the group, for the scenes that need one after another.
+//! Individual messages, for tests that control the order of delivery.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::{FakeMessage, FakeNetwork, address};
 
 impl FakeNetwork {
-    /// A node without memory asks a control for the floor.
+    /// A node that has just started asks a control for the floor.
     pub(crate) fn ask_floor(&mut self, index: usize) {
         let message = dissemination::DisseminationMessage::FloorQuestion;
         let event = event::Event::Received {
@@ -20,22 +20,22 @@
         self.reduce(index, event);
     }
 
-    /// The end of a control's log.
+    /// Last position of a control's log.
     pub(crate) fn last(&self, index: usize) -> ids::LogPosition {
         let view = replication::GroupView::of(&self.controls[index].state);
-        view.expect("it is a control").last
+        view.expect("the process has the control role").last
     }
 
-    /// The latest term that a control has seen.
+    /// Current term of a control.
     pub(crate) fn term(&self, index: usize) -> ids::LeaderTerm {
         let view = replication::GroupView::of(&self.controls[index].state);
-        view.expect("it is a control").term
+        view.expect("the process has the control role").term
     }
 
-    /// Loses every snapshot on its way.
+    /// Drops all snapshots in transit.
     pub(crate) fn drop_snapshots(&mut self) {
-        self.messages.retain(|one| {
-            let message::PeerMessage::Replication(message) = &one.message else {
+        self.messages.retain(|sent| {
+            let message::PeerMessage::Replication(message) = &sent.message else {
                 return true;
             };
             !matches!(message.body, wire::ReplicationBody::Install { .. })
@@ -46,15 +46,15 @@
         message.to == to && message.from.address == address(from)
     }
 
-    /// Takes what is on its way from one control to another.
+    /// Takes the messages in transit from one control to another.
     pub(crate) fn take_messages(&mut self, from: usize, to: usize) -> Vec<FakeMessage> {
         let messages = std::mem::take(&mut self.messages).into_iter();
-        let (wanted, rest) = messages.partition(|one| Self::is_between(one, from, to));
+        let (selected, rest) = messages.partition(|sent| Self::is_between(sent, from, to));
         self.messages = rest;
-        wanted
+        selected
     }
 
-    /// Delivers what is on its way from one control to another.
+    /// Delivers the messages in transit from one control to another.
     pub(crate) fn deliver_between(&mut self, from: usize, to: usize) {
         for message in self.take_messages(from, to) {
             self.messages.insert(0, message);
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Whether a control has said what it keeps.
-    pub(crate) fn has_answer(&self, from: usize) -> bool {
-        self.messages.iter().any(|one| {
-            let message::PeerMessage::Replication(message) = &one.message else {
+    /// Whether a control has sent an acknowledgement of entries.
+    pub(crate) fn has_acknowledged(&self, from: usize) -> bool {
+        self.messages.iter().any(|sent| {
+            let message::PeerMessage::Replication(message) = &sent.message else {
                 return false;
             };
             let is_appended = matches!(message.body, wire::ReplicationBody::Appended(_));
-            one.from.address == address(from) && is_appended
+            sent.from.address == address(from) && is_appended
         })
     }
 
-    /// Has a control elected by another one, and delivers nothing beyond that.
-    pub(crate) fn lead(&mut self, index: usize, voter: usize) {
+    /// Lets one control be elected with the vote of another and drops all other messages.
+    pub(crate) fn elect(&mut self, index: usize, voter: usize) {
         self.messages.clear();
         while self.leader() != Some(index) {
             self.now = self.now + Duration::from_millis(50);
@@ -88,8 +88,8 @@
         self.messages.clear();
     }
 
-    /// Tells a leader that a control keeps the log up to a position.
-    pub(crate) fn answer_as(&mut self, from: usize, to: usize, position: ids::LogPosition) {
+    /// Acknowledges entries up to a position to the leader in the name of a control.
+    pub(crate) fn acknowledge_as(&mut self, from: usize, to: usize, position: ids::LogPosition) {
         let answer = wire::AppendAnswer {
             is_accepted: true,
             position,
@@ -97,7 +97,7 @@
             at: self.now,
         };
         let replica = self.log(from).replica();
-        self.say(
+        self.send_as(
             from,
             to,
             replica,
@@ -106,16 +106,16 @@
         );
     }
 
-    fn say(
+    fn send_as(
         &mut self,
         from: usize,
         to: usize,
         replica: ids::ReplicaId,
         body: wire::ReplicationBody,
-        later: u64,
+        term_offset: u64,
     ) {
         let term = replication::GroupView::of(&self.controls[to].state);
-        let term = term.expect("it is a control").term.0 + later;
+        let term = term.expect("the process has the control role").term.0 + term_offset;
         let message = wire::ReplicationMessage {
             group: ids::GroupId::default(),
             from: replica,
@@ -129,40 +129,47 @@
         self.deliver(0, true);
     }
 
-    /// Has one control ask another for a pre-vote and for a vote; returns what it is told.
-    pub(crate) fn ask_votes(&mut self, from: usize, to: usize) -> (Option<bool>, Option<bool>) {
+    /// Requests a pre-vote and a vote from a control in the name of another; returns whether each
+    /// was granted.
+    pub(crate) fn request_votes(&mut self, from: usize, to: usize) -> (Option<bool>, Option<bool>) {
         let replica = self.log(from).replica();
         self.now = self.now + Duration::from_secs(5);
-        let pre_vote = self.ask_vote(from, to, replica, wire::ReplicationBody::PreVote, 1);
-        let vote = self.ask_vote(from, to, replica, wire::ReplicationBody::Vote, 1);
+        let pre_vote = self.request_vote(from, to, replica, wire::ReplicationBody::PreVote, 1);
+        let vote = self.request_vote(from, to, replica, wire::ReplicationBody::Vote, 1);
         (pre_vote, vote)
     }
 
-    /// The same in the term that the other control is already in, for a replica of another id.
-    pub(crate) fn ask_votes_as(
+    /// Requests a vote in the receiver's current term, in the name of a replica with another id.
+    pub(crate) fn request_votes_as(
         &mut self,
         from: usize,
         to: usize,
         replica: ids::ReplicaId,
     ) -> (Option<bool>, Option<bool>) {
-        let vote = self.ask_vote(from, to, replica, wire::ReplicationBody::Vote, 0);
+        let vote = self.request_vote(from, to, replica, wire::ReplicationBody::Vote, 0);
         (None, vote)
     }
 
-    fn ask_vote(
+    fn request_vote(
         &mut self,
         from: usize,
         to: usize,
         replica: ids::ReplicaId,
         body: fn(wire::LogMark) -> wire::ReplicationBody,
-        later: u64,
+        term_offset: u64,
     ) -> Option<bool> {
         let log = self.log(from);
         let last = log.committed_entries().last().map(wire::LogEntry::mark);
-        self.say(from, to, replica, body(last.unwrap_or_default()), later);
+        self.send_as(
+            from,
+            to,
+            replica,
+            body(last.unwrap_or_default()),
+            term_offset,
+        );
         self.sync(to);
         let answers = self.take_messages(to, from);
-        answers.iter().rev().find_map(|one| match &one.message {
+        answers.iter().rev().find_map(|sent| match &sent.message {
             message::PeerMessage::Replication(message) => match message.body {
                 wire::ReplicationBody::PreVoted { is_granted }
                 | wire::ReplicationBody::Voted { is_granted } => Some(is_granted),
--- a/crates/engine/tests/replication/network.rs
+++ b/crates/engine/tests/replication/network.rs
@@ -1,4 +1,5 @@
-//! A group of reducers with fake disks and a fake network, checked after every step.
+//! A control group of reducers with simulated disks and network. Invariants are checked after every
+//! step.
 
 mod disk;
 mod messages;
@@ -12,31 +13,31 @@
 use indexmap::{IndexMap, IndexSet};
 use serde_json::json;
 
-/// One control with its disk.
+/// A control with its disk.
 pub(crate) struct FakeControl {
     pub(crate) state: reducer::EngineState,
-    pub(crate) is_up: bool,
+    pub(crate) is_running: bool,
     pub(crate) disk: disk::FakeDisk,
     version: ids::CatalogueVersion,
 }
 
-/// A message on its way.
+/// A message in transit.
 pub(crate) struct FakeMessage {
     from: membership::PeerIdentity,
     to: usize,
     message: message::PeerMessage,
 }
 
-/// The group, and all that was ever promised.
+/// The group, and the record of everything that was answered and committed.
 pub(crate) struct FakeNetwork {
     pub(crate) controls: Vec<FakeControl>,
     pub(crate) messages: Vec<FakeMessage>,
-    pub(crate) cut: IndexSet<(usize, usize)>,
+    pub(crate) blocked_links: IndexSet<(usize, usize)>,
     pub(crate) answers: IndexMap<u64, replication::ProposalAnswer>,
     pub(crate) acknowledged: IndexMap<ids::ChangeId, change::ChangeReceipt>,
     pub(crate) now: time::MonotonicTime,
     /// Answers to nodes that asked for the floor.
-    pub(crate) floors: Vec<dissemination::FloorAnswer>,
+    pub(crate) floor_answers: Vec<dissemination::FloorAnswer>,
     plan: GroupPlan,
     proposals: u64,
     replicas: u64,
@@ -49,21 +50,28 @@
 }
 
 pub(crate) fn instance(index: usize) -> ids::InstanceName {
-    format!("control-{index}").parse().expect("it is a name")
+    format!("control-{index}")
+        .parse()
+        .expect("the name is valid")
 }
 
-/// Who founds a group, and how many voters it keeps by itself; 0 for none.
+/// Number of instances that bootstrap the group, and the number of voters that it maintains
+/// automatically; 0 disables automatic replacement.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct GroupPlan {
-    founders: usize,
+    initial_voters: usize,
     voters: u64,
 }
 
-fn engine(index: usize, plan: GroupPlan, log: replication::RecoveredLog) -> reducer::EngineState {
+fn engine_state(
+    index: usize,
+    plan: GroupPlan,
+    log: replication::RecoveredLog,
+) -> reducer::EngineState {
     let identity = membership::PeerIdentity {
         instance: instance(index),
-        data_centre: "brasov-a".parse().expect("it is a name"),
-        region: "ro-centru".parse().expect("it is a name"),
+        data_centre: "brasov-a".parse().expect("the name is valid"),
+        region: "ro-centru".parse().expect("the name is valid"),
         address: address(index),
         operators: None,
         is_control: true,
@@ -78,11 +86,11 @@
     let state = replication::ReplicationState::recover(log, &tunables.replication);
     let settings = settings::EngineSettings {
         identity,
-        control: (0..plan.founders).map(address).collect(),
+        control: (0..plan.initial_voters).map(address).collect(),
         seed: index as u64 + 1,
         tunables,
     };
-    // A process has in force what its disk says is committed.
+    // A process starts with the committed catalogue of its disk in force.
     let in_force = std::sync::Arc::new(state.committed().clone());
     let mut engine = reducer::EngineState::new(settings, Some(state));
     engine.dissemination.in_force = in_force;
@@ -90,19 +98,19 @@
 }
 
 impl FakeNetwork {
-    /// A group that was just started to be founded.
+    /// A group of new replicas that are about to bootstrap.
     pub(crate) fn new(count: usize) -> Self {
         let plan = GroupPlan {
-            founders: count,
+            initial_voters: count,
             voters: 0,
         };
         Self::with_plan(count, plan)
     }
 
-    /// A group of three voters that heals itself, founded by the first three instances.
-    pub(crate) fn healing(count: usize) -> Self {
+    /// A self-healing group of three voters, bootstrapped by the first three instances.
+    pub(crate) fn self_healing(count: usize) -> Self {
         let plan = GroupPlan {
-            founders: count.min(3),
+            initial_voters: count.min(3),
             voters: 3,
         };
         Self::with_plan(count, plan)
@@ -113,21 +121,21 @@
             plan,
             controls: Vec::new(),
             messages: Vec::new(),
-            cut: IndexSet::new(),
+            blocked_links: IndexSet::new(),
             answers: IndexMap::new(),
             acknowledged: IndexMap::new(),
             now: time::MonotonicTime::default(),
-            floors: Vec::new(),
+            floor_answers: Vec::new(),
             proposals: 0,
             replicas: 0,
             leaders: IndexMap::new(),
             committed: IndexMap::new(),
         };
         for index in 0..count {
-            let disk = network.fresh_disk(true);
+            let disk = network.empty_disk(true);
             network.controls.push(FakeControl {
-                state: engine(index, plan, disk.clone()),
-                is_up: true,
+                state: engine_state(index, plan, disk.clone()),
+                is_running: true,
                 disk: disk::FakeDisk::new(disk),
                 version: ids::CatalogueVersion::default(),
             });
@@ -135,7 +143,7 @@
         network
     }
 
-    fn fresh_disk(&mut self, is_forming: bool) -> replication::RecoveredLog {
+    fn empty_disk(&mut self, is_forming: bool) -> replication::RecoveredLog {
         self.replicas += 1;
         let hard = wire::HardState {
             replica: ids::ReplicaId(self.replicas),
@@ -150,17 +158,19 @@
 
     fn log(&self, index: usize) -> &replication::ReplicationState {
         let replication = &self.controls[index].state.replication;
-        replication.as_ref().expect("every one is a control")
+        replication
+            .as_ref()
+            .expect("every process has the control role")
     }
 
-    /// The control that leads in the latest term among those that are up.
+    /// The running control that leads in the latest term.
     pub(crate) fn leader(&self) -> Option<usize> {
-        let up = (0..self.controls.len()).filter(|index| self.controls[*index].is_up);
+        let up = (0..self.controls.len()).filter(|index| self.controls[*index].is_running);
         up.filter(|index| self.log(*index).leading_term().is_some())
             .max_by_key(|index| self.log(*index).leading_term())
     }
 
-    /// The catalogue that a control has committed.
+    /// The committed catalogue of a control.
     pub(crate) fn committed(&self, index: usize) -> &catalogue_state::CatalogueState {
         self.log(index).committed()
     }
@@ -170,17 +180,17 @@
     }
 
     pub(crate) fn reduce(&mut self, index: usize, event: event::Event) {
-        if !self.controls[index].is_up {
+        if !self.controls[index].is_running {
             return;
         }
         let effects = reducer::reduce(&mut self.controls[index].state, self.now, event);
         for effect in effects {
-            self.run(index, effect);
+            self.apply_effect(index, effect);
         }
-        self.check(index);
+        self.check_invariants(index);
     }
 
-    fn run(&mut self, index: usize, effect: event::Effect) {
+    fn apply_effect(&mut self, index: usize, effect: event::Effect) {
         match effect {
             event::Effect::Send {
                 message:
@@ -188,19 +198,22 @@
                         dissemination::DisseminationMessage::FloorAnswer(answer),
                     ),
                 ..
-            } => self.floors.push(answer),
+            } => self.floor_answers.push(answer),
             event::Effect::Send { to, message } => {
-                let wanted = (0..self.controls.len()).find(|other| address(*other) == to);
-                let is_ours = matches!(message, message::PeerMessage::Replication(_));
-                if let Some(to) = wanted.filter(|_| is_ours) {
+                let receiver = (0..self.controls.len()).find(|other| address(*other) == to);
+                let is_replication = matches!(message, message::PeerMessage::Replication(_));
+                if let Some(to) = receiver.filter(|_| is_replication) {
                     let bytes = codec::encoded_size(&message);
-                    assert!(bytes < codec::LARGEST_FRAME, "{bytes} bytes fit no frame");
+                    assert!(
+                        bytes < codec::LARGEST_FRAME,
+                        "{bytes} bytes exceed the largest frame"
+                    );
                     let from = self.controls[index].state.settings.identity.clone();
                     self.messages.push(FakeMessage { from, to, message });
                 }
             }
             event::Effect::Replication(replication::ReplicationEffect::Persist(batch)) => {
-                self.controls[index].disk.take(*batch);
+                self.controls[index].disk.enqueue(*batch);
             }
             event::Effect::Replication(replication::ReplicationEffect::Answer {
                 number,
@@ -212,7 +225,7 @@
                         .acknowledged
                         .entry(id)
                         .or_insert_with(|| receipt.clone());
-                    assert_eq!(first, receipt, "two answers for one change id");
+                    assert_eq!(first, receipt, "one change id got two receipts");
                 }
                 let before = self.answers.insert(number.0, answer);
                 assert_eq!(before, None, "a proposal is answered once");
@@ -221,10 +234,10 @@
         }
     }
 
-    /// What must hold after every step.
-    fn check(&mut self, index: usize) {
+    /// Checks the invariants after a step of a control.
+    fn check_invariants(&mut self, index: usize) {
         let log = self.controls[index].state.replication.as_ref();
-        let log = log.expect("every one is a control");
+        let log = log.expect("every process has the control role");
         if let Some(term) = log.leading_term() {
             let leader = *self.leaders.entry(term).or_insert_with(|| log.replica());
             assert_eq!(leader, log.replica(), "two leaders in term {term}");
@@ -237,16 +250,13 @@
         let version = log.committed().version;
         assert!(
             version >= self.controls[index].version,
-            "the version went back"
-        );
-        assert!(
-            log.committed().is_sound(),
-            "the digest is that of the content"
+            "the catalogue version decreased"
         );
+        assert!(log.committed().is_sound(), "the digest matches the content");
         for (id, receipt) in &self.acknowledged {
             if receipt.version <= version {
-                let held = log.accepted(id).map(|accepted| &accepted.receipt);
-                assert_eq!(held, Some(receipt), "an acknowledged change is gone");
+                let stored = log.accepted(id).map(|accepted| &accepted.receipt);
+                assert_eq!(stored, Some(receipt), "an acknowledged change is lost");
             }
         }
         self.controls[index].version = version;
@@ -259,15 +269,15 @@
         }
     }
 
-    /// The disk of a control keeps everything that it was given, or refuses it.
+    /// Syncs a control's disk, which succeeds or fails.
     pub(crate) fn sync(&mut self, index: usize) {
         if let Some(event) = self.controls[index].disk.sync() {
             self.reduce(index, event::Event::Replication(event));
         }
     }
 
-    pub(crate) fn deliver(&mut self, place: usize, is_last: bool) {
-        let Some(message) = self.messages.get(place) else {
+    pub(crate) fn deliver(&mut self, position: usize, is_removed: bool) {
+        let Some(message) = self.messages.get(position) else {
             return;
         };
         let to = message.to;
@@ -276,19 +286,19 @@
             from: from.clone(),
             message: message.message.clone(),
         };
-        if is_last {
-            self.messages.remove(place);
+        if is_removed {
+            self.messages.remove(position);
         }
         let sender = (0..self.controls.len()).find(|index| address(*index) == from.address);
         if !self
-            .cut
+            .blocked_links
             .contains(&(sender.expect("only controls send"), to))
         {
             self.reduce(to, event);
         }
     }
 
-    /// Proposes a change of one entry; returns the number that its answer will carry.
+    /// Proposes a new entry and returns the number of the proposal.
     pub(crate) fn propose(&mut self, index: usize, id: &str, expects: u64) -> u64 {
         let class = json!({"kind": "class", "name": id, "owner": "registru", "class": "counter"});
         let mut put = vec![class];
@@ -315,7 +325,7 @@
         self.submit(index, request)
     }
 
-    /// Proposes a document as the whole catalogue.
+    /// Proposes a document that replaces the whole catalogue.
     pub(crate) fn replace(&mut self, index: usize, label: u64, base: u64, document: &str) -> u64 {
         let put = json!([
             {"kind": "owner", "name": "registru", "owner": "registru", "class": "counter"},
@@ -336,7 +346,7 @@
         self.submit_as(index, request, replication::ChangeAuthor::Administrator)
     }
 
-    /// The same by another author.
+    /// Submits a request in the name of an author.
     pub(crate) fn submit_as(
         &mut self,
         index: usize,
@@ -356,7 +366,7 @@
         self.proposals
     }
 
-    /// Asks for the revision in place.
+    /// Reads the current revision.
     pub(crate) fn read(&mut self, index: usize) -> u64 {
         self.proposals += 1;
         let number = replication::ProposalNumber(self.proposals);
@@ -365,34 +375,35 @@
         self.proposals
     }
 
-    /// A control is suspended: its memory stays, and its clock stands still.
+    /// Suspends a control, which keeps its memory; its clock stands still.
     pub(crate) fn suspend(&mut self, index: usize) {
-        self.controls[index].is_up = false;
+        self.controls[index].is_running = false;
     }
 
-    /// A suspended control goes on by its own clock, which has not moved, with a read that waited.
+    /// Resumes a suspended control at the time of its own clock, with a read that arrived
+    /// meanwhile.
     pub(crate) fn wake_with_read(&mut self, index: usize) -> u64 {
-        self.controls[index].is_up = true;
+        self.controls[index].is_running = true;
         let now = std::mem::replace(&mut self.now, self.controls[index].state.now);
         let number = self.read(index);
         self.now = now;
         number
     }
 
-    /// Instances that have a vote, by a control's log.
+    /// The voters that a control knows.
     pub(crate) fn voters(&self, index: usize) -> IndexSet<ids::ReplicaId> {
         let view = replication::GroupView::of(&self.controls[index].state);
-        let members = view.expect("it is a control").members;
+        let members = view.expect("the process has the control role").members;
         let voters = members.into_iter().filter(|member| member.is_voter);
         voters.map(|member| member.replica).collect()
     }
 
-    /// A control's durable id.
+    /// A control's replica id.
     pub(crate) fn replica(&self, index: usize) -> ids::ReplicaId {
         self.log(index).replica()
     }
 
-    /// The revision that a control has committed.
+    /// The current revision, if a control can confirm it.
     pub(crate) fn revision(&mut self, index: usize) -> Option<change::CatalogueRevision> {
         let number = self.read(index);
         self.settle(10);
@@ -410,38 +421,40 @@
         self.proposals
     }
 
-    /// A control dies and loses its memory; of what was not synced a part is on the disk.
+    /// Crashes a control, which loses its memory. Of the unsynced batches the first `kept` stay on
+    /// disk.
     pub(crate) fn crash(&mut self, index: usize, kept: usize) {
         let control = &mut self.controls[index];
         control.disk.crash(kept);
-        control.is_up = false;
+        control.is_running = false;
     }
 
     pub(crate) fn restart(&mut self, index: usize) {
         let plan = self.plan;
         let control = &mut self.controls[index];
-        if !control.is_up {
-            control.state = engine(index, plan, control.disk.kept.clone());
-            control.is_up = true;
+        if !control.is_running {
+            control.state = engine_state(index, plan, control.disk.stored.clone());
+            control.is_running = true;
             control.version = ids::CatalogueVersion::default();
         }
     }
 
-    /// A control dies and comes back with an empty folder.
-    pub(crate) fn empty(&mut self, index: usize, is_bootstrap: bool) {
+    /// Restarts a control with an empty data folder.
+    pub(crate) fn wipe(&mut self, index: usize, is_bootstrap: bool) {
         self.crash(index, 0);
-        self.controls[index].disk = disk::FakeDisk::new(self.fresh_disk(is_bootstrap));
+        self.controls[index].disk = disk::FakeDisk::new(self.empty_disk(is_bootstrap));
         self.restart(index);
     }
 
-    pub(crate) fn cut_off(&mut self, index: usize) {
+    pub(crate) fn isolate(&mut self, index: usize) {
         for other in 0..self.controls.len() {
-            self.cut.insert((index, other));
-            self.cut.insert((other, index));
+            self.blocked_links.insert((index, other));
+            self.blocked_links.insert((other, index));
         }
     }
 
-    /// Lets everything arrive in order, disks work and time pass.
+    /// Advances time in rounds of 20 ms; in each round all messages are delivered and all disks
+    /// synced.
     pub(crate) fn settle(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.tick(Duration::from_millis(20));
@@ -456,8 +469,8 @@
         }
     }
 
-    /// Proposes through the leader until a change is accepted; returns its receipt.
-    pub(crate) fn change(&mut self, id: &str) -> change::ChangeReceipt {
+    /// Proposes a change to the leader until it is accepted and returns its receipt.
+    pub(crate) fn commit_change(&mut self, id: &str) -> change::ChangeReceipt {
         for _ in 0..50 {
             self.settle(10);
             let Some(leader) = self.leader() else {
--- a/crates/engine/tests/replication/rollouts.rs
+++ b/crates/engine/tests/replication/rollouts.rs
@@ -1,4 +1,4 @@
-//! Orders of roll-outs and their phases in the log.
+//! Roll-out orders and phase transitions in the replicated log.
 
 use hazeltiller_catalogue::{change, rollout};
 use hazeltiller_engine::replication;
@@ -7,14 +7,14 @@
 
 use crate::{network::FakeNetwork, refusal};
 
-/// Rounds of `settle` in which a new leader is found.
+/// Rounds of `settle` that suffice to elect a new leader.
 const ELECTION_ROUNDS: usize = 150;
-/// Rounds that are longer than the time of the roll-outs here.
+/// Rounds of `settle` that exceed the time limit of the roll-outs below.
 const ROLLOUT_ROUNDS: usize = 700;
 const WITHIN_MS: u32 = 12_000;
 
 fn service() -> ids::EntryName {
-    "registru".parse().expect("it is a name")
+    "registru".parse().expect("the name is valid")
 }
 
 fn entries() -> Value {
@@ -25,11 +25,11 @@
     ])
 }
 
-/// A group whose catalogue has one service, and its leader.
+/// Returns a group whose catalogue has one service, and its leader.
 fn group() -> (FakeNetwork, usize) {
     let mut network = FakeNetwork::new(3);
     network.settle(40);
-    let leader = network.leader().expect("the group is whole");
+    let leader = network.leader().expect("the group has a leader");
     let request = json!({"change_id": "first", "expects": 0, "put": entries()});
     let request = serde_json::from_value(request).expect("the request is valid");
     network.submit(leader, request);
@@ -40,7 +40,7 @@
 fn order(to: &str, within_ms: u32) -> change::ChangeRequest {
     change::ChangeRequest::rollout_order(rollout::RolloutOrder {
         service: service(),
-        to: to.parse().expect("it is a version"),
+        to: to.parse().expect("the version is valid"),
         within_ms,
     })
 }
@@ -67,25 +67,25 @@
 }
 
 #[test]
-fn order_outlives_leader() {
+fn order_survives_leader() {
     let (mut network, leader) = group();
     let number = submit(&mut network, leader, order("v2", WITHIN_MS));
     let ordered = receipt(&network, number).version;
     network.crash(leader, 0);
     network.settle(ELECTION_ROUNDS);
-    let next = network.leader().expect("two of three are up");
-    let entry = latest(&network, next).expect("the order is kept");
+    let next = network.leader().expect("two of three replicas are running");
+    let entry = latest(&network, next).expect("the roll-out entry exists");
     assert_eq!(
         (entry.order, entry.phase),
         (ordered, rollout::RolloutPhase::Trial)
     );
     network.settle(ROLLOUT_ROUNDS);
-    let entry = latest(&network, next).expect("the order is kept");
+    let entry = latest(&network, next).expect("the roll-out entry exists");
     assert_eq!(entry.order, ordered);
     assert_eq!(
         entry.phase,
         rollout::RolloutPhase::RolledBack,
-        "there are no new targets"
+        "no target runs the new version"
     );
     assert_eq!(
         entry.reason,
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn repeat_acknowledged_again() {
+fn resent_order_acknowledged() {
     let (mut network, leader) = group();
     let first = submit(&mut network, leader, order("v2", WITHIN_MS));
     let again = submit(&mut network, leader, order("v2", WITHIN_MS));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn old_order_starts_anew() {
+fn repeated_order_restarts() {
     let (mut network, leader) = group();
     let first = submit(&mut network, leader, order("v2", WITHIN_MS));
     network.settle(ROLLOUT_ROUNDS);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn restart_takes_back() {
+fn restart_rolls_back() {
     let (mut network, leader) = group();
     submit(&mut network, leader, order("v2", WITHIN_MS));
     for control in 0..3 {
@@ -131,7 +131,7 @@
         network.restart(control);
     }
     network.settle(ELECTION_ROUNDS);
-    let entry = latest(&network, leader).expect("the order is kept");
+    let entry = latest(&network, leader).expect("the roll-out entry exists");
     assert_eq!(entry.phase, rollout::RolloutPhase::RolledBack);
     let reason = "the controls were restarted and do not know how long it has gone on";
     assert_eq!(entry.reason, reason);
@@ -141,13 +141,13 @@
 fn bad_orders_refused() {
     let (mut network, leader) = group();
     let unknown = rollout::RolloutOrder {
-        service: "arhiva".parse().expect("it is a name"),
-        to: "v2".parse().expect("it is a version"),
+        service: "arhiva".parse().expect("the name is valid"),
+        to: "v2".parse().expect("the version is valid"),
         within_ms: WITHIN_MS,
     };
     let unknown = change::ChangeRequest::rollout_order(unknown);
     let abort = rollout::RolloutRequest::Abort(service());
-    let id = "abort-1".parse().expect("it is an id");
+    let id = "abort-1".parse().expect("the id is valid");
     let abort = change::ChangeRequest::rollout(id, abort);
     for (request, expected) in [
         (unknown, code::ResultCode::EntryNotFound),
@@ -158,7 +158,7 @@
         let number = submit(&mut network, leader, request);
         assert_eq!(refusal(&network, number), Some(expected));
     }
-    assert_eq!(latest(&network, leader), None, "nothing has changed");
+    assert_eq!(latest(&network, leader), None, "no roll-out was started");
     submit(&mut network, leader, order("v2", WITHIN_MS));
     let number = submit(&mut network, leader, order("v3", WITHIN_MS));
     let expected = Some(code::ResultCode::RolloutUnderWay);
@@ -166,18 +166,18 @@
 }
 
 #[test]
-fn entry_kept_from_operators() {
+fn rollout_entry_protected() {
     let (mut network, leader) = group();
     submit(&mut network, leader, order("v2", WITHIN_MS));
     let version = network.version(leader).0;
-    let mut forged = serde_json::to_value(latest(&network, leader)).expect("it is JSON");
+    let mut forged = serde_json::to_value(latest(&network, leader)).expect("the entry serializes");
     forged["kind"] = json!("rollout");
     forged["phase"] = json!("succeeded");
     let key = json!({"kind": "rollout", "name": "registru"});
     for change in [json!({"put": [forged]}), json!({"remove": [key]})] {
         let mut request = json!({"change_id": "forged", "expects": version});
-        let fields = request.as_object_mut().expect("it is an object");
-        fields.extend(change.as_object().expect("it is an object").clone());
+        let fields = request.as_object_mut().expect("the value is an object");
+        fields.extend(change.as_object().expect("the value is an object").clone());
         let request = serde_json::from_value(request).expect("the request is valid");
         let number = submit(&mut network, leader, request);
         let expected = Some(code::ResultCode::RolloutForeign);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn replacement_keeps_it() {
+fn replacement_keeps_rollout() {
     let (mut network, leader) = group();
     submit(&mut network, leader, order("v2", WITHIN_MS));
     let mark = change::ReplacementMark {
@@ -205,10 +205,10 @@
 }
 
 #[test]
-fn abort_takes_back() {
+fn abort_rolls_back() {
     let (mut network, leader) = group();
     submit(&mut network, leader, order("v2", WITHIN_MS));
-    let id = "abort-1".parse().expect("it is an id");
+    let id = "abort-1".parse().expect("the id is valid");
     let abort = rollout::RolloutRequest::Abort(service());
     let number = submit(
         &mut network,
@@ -216,17 +216,17 @@
         change::ChangeRequest::rollout(id, abort),
     );
     receipt(&network, number);
-    let entry = latest(&network, leader).expect("the order is kept");
+    let entry = latest(&network, leader).expect("the roll-out entry exists");
     assert_eq!(entry.phase, rollout::RolloutPhase::RolledBack);
     assert_eq!(entry.reason, "aborted by an operator");
 }
 
 #[test]
-fn stranger_told_nothing() {
+fn unknown_token_refused() {
     let (mut network, leader) = group();
     submit(&mut network, leader, order("v2", WITHIN_MS));
-    let stranger = replication::ChangeAuthor::Holder(ids::StateDigest([7; 32]));
-    let number = network.submit_as(leader, order("v2", WITHIN_MS), stranger);
+    let unknown_holder = replication::ChangeAuthor::Holder(ids::StateDigest([7; 32]));
+    let number = network.submit_as(leader, order("v2", WITHIN_MS), unknown_holder);
     network.settle(10);
     let expected = Some(code::ResultCode::OperatorUnknown);
     assert_eq!(refusal(&network, number), expected);
