--- a/crates/daemon/src/claims_task.rs
+++ b/crates/daemon/src/claims_task.rs
@@ -34,7 +34,7 @@
 ) -> Result<(), error::StoreError> {
     let mut records = Vec::new();
     for mut batch in group {
-        if batch.is_whole_file {
+        if batch.is_full_rewrite {
             // It says all that the records before it say.
             records.clear();
             store.rewrite(&batch.records)?;
--- a/crates/daemon/src/disk_writer.rs
+++ b/crates/daemon/src/disk_writer.rs
@@ -34,7 +34,7 @@
     }
 
     fn is_whole(&self) -> bool {
-        self.is_whole_file
+        self.is_full_rewrite
     }
 }
 
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -39,7 +39,7 @@
     let claimed = arrival.fingerprint.filter(|_| is_claimed);
     state.calls.ingress.insert(arrival.call, record);
     match claimed {
-        Some(request) => ledger::begin(state, arrival.call, request, output),
+        Some(request) => ledger::claim_call(state, arrival.call, request, output),
         None => begin(state, arrival.call, output),
     }
 }
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -31,7 +31,7 @@
     /// What to write.
     pub records: Vec<wire::ClaimRecord>,
     /// Whether they replace the whole file rather than being appended.
-    pub is_whole_file: bool,
+    pub is_full_rewrite: bool,
 }
 
 /// Events of the ledger.
@@ -70,7 +70,7 @@
 }
 
 /// Takes a call that must be claimed; [`calls::CallEvent::Claimed`] follows once it is.
-pub fn begin(
+pub fn claim_call(
     state: &mut reducer::EngineState,
     call: hazeltiller_units::ids::CallId,
     request: wire::RequestDigest,
@@ -146,7 +146,7 @@
 }
 
 /// Takes an event.
-pub fn take(
+pub fn handle_event(
     state: &mut reducer::EngineState,
     event: LedgerEvent,
     output: &mut event::ReducerOutput,
--- a/crates/engine/src/ledger/acceptor.rs
+++ b/crates/engine/src/ledger/acceptor.rs
@@ -114,14 +114,14 @@
     fn persist(
         &mut self,
         records: Vec<wire::ClaimRecord>,
-        is_whole_file: bool,
+        is_full_rewrite: bool,
         output: &mut event::ReducerOutput,
     ) {
         self.last_batch += 1;
         let batch = ledger::ClaimBatch {
             batch: self.last_batch,
             records,
-            is_whole_file,
+            is_full_rewrite,
         };
         let effect = ledger::LedgerEffect::Persist(batch);
         output.effects.push(event::Effect::Ledger(effect));
--- a/crates/engine/src/ledger/asking.rs
+++ b/crates/engine/src/ledger/asking.rs
@@ -179,7 +179,7 @@
         if record.is_none_or(|record| record.deadline <= now) {
             output.refuse(call, race::unproven());
         } else {
-            ledger::begin(state, call, request, output);
+            ledger::claim_call(state, call, request, output);
         }
     }
 }
--- a/crates/engine/src/reducer.rs
+++ b/crates/engine/src/reducer.rs
@@ -127,7 +127,7 @@
         event::Event::Dissemination(event) => dissemination::take(state, event, output),
         event::Event::Membership(event) => membership::take(state, event, output),
         event::Event::Calls(event) => calls::take(state, event, output),
-        event::Event::Ledger(event) => ledger::take(state, event, output),
+        event::Event::Ledger(event) => ledger::handle_event(state, event, output),
         event::Event::Quarantine(event) => quarantine::take(state, event, output),
         event::Event::Health(event) => health::take(state, event),
     }
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -241,7 +241,7 @@
     fn sync(&mut self, index: usize) {
         for batch in std::mem::take(&mut self.processes[index].pending) {
             let process = &mut self.processes[index];
-            if process.has_failed && !batch.is_whole_file {
+            if process.has_failed && !batch.is_full_rewrite {
                 continue;
             }
             process.has_failed = process.is_refusing;
@@ -252,7 +252,7 @@
                 );
                 continue;
             }
-            if batch.is_whole_file {
+            if batch.is_full_rewrite {
                 process.disk.clear();
             }
             process.disk.extend(batch.records);
