--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -1,13 +1,13 @@
-//! At most once: who alone may run a keyed request that is not idempotent.
+//! At-most-once execution of keyed requests that are not idempotent.
 //!
-//! The node that such a request comes to claims it at a majority of the control instances. Each
-//! control keeps at most one claim a request, on its disk, until the claim's own node has said
-//! that nothing ran under it; so of all claims on a request at most one ever has a majority, and
-//! only its node sends the request on. Any other node that gets the request asks the node that
-//! holds the claim what became of it. Where no proof is to be had the answer is a refusal.
+//! The node that receives such a request claims it at a majority of the controls. Each control
+//! stores at most one claim per request, synced to disk, until the claiming node reports that
+//! nothing ran under it. So at most one claim on a request ever gets a majority, and only its node
+//! sends the request to a target. Any other node that receives the request asks the holder of that
+//! claim for the outcome. If nothing can be proven, the request is refused.
 //!
-//! Invariant: a claim is released only when nothing was sent under it and nothing will be; a claim
-//! number is never used twice.
+//! Invariants: a claim is released only if nothing was sent under it and nothing will be; a claim
+//! number is never reused.
 
 use std::net::SocketAddr;
 
@@ -17,59 +17,59 @@
 use crate::{calls, event, reducer};
 
 pub mod acceptor;
-mod asking;
-mod claims;
-mod race;
+mod claim_table;
+mod holder_query;
+mod own_claim;
 
-pub use claims::ClaimTable;
+pub use claim_table::ClaimTable;
 
-/// Records for the control's file of claims.
+/// Records for a control's claims file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClaimBatch {
-    /// Number of the batch, growing by one.
+    /// Sequence number of the batch.
     pub batch: u64,
-    /// What to write.
+    /// The records to write.
     pub records: Vec<wire::ClaimRecord>,
-    /// Whether they replace the whole file rather than being appended.
+    /// Whether the records replace the whole file instead of being appended.
     pub is_full_rewrite: bool,
 }
 
-/// Events of the ledger.
+/// Input events of the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerEvent {
-    /// The store has synced a batch and all before it.
+    /// The store has synced a batch and all earlier ones.
     Persisted {
-        /// Number of the batch.
+        /// Number of the last synced batch.
         batch: u64,
     },
-    /// The store failed and keeps nothing until it is given a whole file.
+    /// A write or sync failed. The store accepts nothing until it is given a full rewrite.
     StoreFailed,
-    /// The whole answer of a claimed call came.
+    /// The answer to a claimed call has arrived in full.
     Answered {
-        /// Which call.
+        /// The claimed call.
         call: hazeltiller_units::ids::CallId,
-        /// The answer, unless it is too large to be kept.
+        /// The answer; `None` if it is too large to be stored.
         answer: Option<wire::KeptAnswer>,
     },
 }
 
-/// Effects of the ledger.
+/// Output effects of the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerEffect {
-    /// Write and sync, then report [`LedgerEvent::Persisted`].
+    /// Writes and syncs a batch, then reports [`LedgerEvent::Persisted`].
     Persist(ClaimBatch),
 }
 
 /// State of the ledger.
 #[derive(Debug, Clone, Default)]
 pub struct LedgerState {
-    /// Claims that this process keeps for others; absent without the control role.
+    /// Claims stored by this process; `None` without the control role.
     pub acceptor: Option<acceptor::AcceptorState>,
-    /// Claims of this node, and calls that wait for one.
+    /// Claims of this node, and calls that wait for another claim.
     pub table: ClaimTable,
 }
 
-/// Takes a call that must be claimed; [`calls::CallEvent::Claimed`] follows once it is.
+/// Claims the request of a call. [`calls::CallEvent::Claimed`] follows once the claim is granted.
 pub fn claim_call(
     state: &mut reducer::EngineState,
     call: hazeltiller_units::ids::CallId,
@@ -77,13 +77,13 @@
     output: &mut event::ReducerOutput,
 ) {
     match state.ledger.table.claim_of(&request) {
-        Some(claim) => asking::wait_for(state, call, request, claim, output),
-        None => race::start(state, call, request, output),
+        Some(claim) => holder_query::wait_for_own(state, call, request, claim, output),
+        None => own_claim::start_claim(state, call, request, output),
     }
 }
 
-/// The refusal of a request before anything is known of its key: a request that may have been
-/// sent before under the same key is not said to be not run.
+/// Refusal of a request before its key has been looked up. The outcome of a keyed request is
+/// reported as unknown, since an earlier request with the same key may have run.
 pub fn early_refusal(
     arrival: &calls::CallArrival,
     code: code::ResultCode,
@@ -99,19 +99,19 @@
     }
 }
 
-/// Takes the end of a call at its ingress node, however it ended.
+/// Handles the end of a call at its ingress node, whatever its outcome.
 pub fn end_call(
     state: &mut reducer::EngineState,
     call: hazeltiller_units::ids::CallId,
     output: &mut event::ReducerOutput,
 ) {
-    state.ledger.table.forget_waiting(call);
+    state.ledger.table.remove_waiting(call);
     if let Some(request) = state.ledger.table.request_of(call) {
-        race::give_up(state, request, output);
+        own_claim::settle_abandoned(state, request, output);
     }
 }
 
-/// Settles the claims of calls that were refused by the effects from `first` on.
+/// Settles the claims of the calls that are refused by the effects from index `first` on.
 pub fn settle_refusals(
     state: &mut reducer::EngineState,
     first: usize,
@@ -131,34 +131,34 @@
         .collect();
     for (call, outcome) in refused {
         if let Some(request) = state.ledger.table.request_of(call) {
-            race::settle(state, request, outcome, output);
+            own_claim::settle(state, request, outcome, output);
         }
     }
 }
 
-/// Takes the passing of time.
+/// Runs everything that depends on time: store retry, resends, timeouts and expiry.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     acceptor::tick(state, output);
-    race::tick(state, output);
-    asking::tick(state, output);
+    own_claim::tick(state, output);
+    holder_query::tick(state, output);
     let tunables = &state.settings.tunables.ledger;
     state.ledger.table.expire(state.now, tunables);
 }
 
-/// Takes an event.
+/// Handles an event of the ledger.
 pub fn handle_event(
     state: &mut reducer::EngineState,
     event: LedgerEvent,
     output: &mut event::ReducerOutput,
 ) {
     match event {
-        LedgerEvent::Persisted { batch } => acceptor::persisted(state, batch, output),
-        LedgerEvent::StoreFailed => acceptor::fail(state),
-        LedgerEvent::Answered { call, answer } => race::answered(state, call, answer, output),
+        LedgerEvent::Persisted { batch } => acceptor::handle_persisted(state, batch, output),
+        LedgerEvent::StoreFailed => acceptor::handle_store_failure(state),
+        LedgerEvent::Answered { call, answer } => own_claim::complete(state, call, answer, output),
     }
 }
 
-/// Takes a message.
+/// Handles a message from another process.
 pub fn receive(
     state: &mut reducer::EngineState,
     from: &membership::PeerIdentity,
@@ -170,13 +170,13 @@
             request,
             claim,
             voters,
-        } => acceptor::take_claim(state, from.address, request, claim, voters, output),
+        } => acceptor::handle_claim(state, from.address, request, claim, voters, output),
         wire::LedgerMessage::Release { request, claim } => {
-            acceptor::release(state, request, claim);
+            acceptor::handle_release(state, request, claim);
         }
         wire::LedgerMessage::Done { request, claim } => acceptor::mark_done(state, request, claim),
         wire::LedgerMessage::Granted { request, claim } => {
-            race::granted(state, from.address, request, claim, output);
+            own_claim::handle_grant(state, from.address, request, claim, output);
         }
         wire::LedgerMessage::Held {
             request,
@@ -184,34 +184,35 @@
             holder,
             is_done,
         } => {
-            let kept = wire::StoredClaim {
+            let stored = wire::StoredClaim {
                 claim: holder,
                 is_done,
             };
-            race::denied(state, from.address, request, claim, Some(kept), output);
+            own_claim::handle_denial(state, from.address, request, claim, Some(stored), output);
         }
         wire::LedgerMessage::Declined { request, claim } => {
-            race::denied(state, from.address, request, claim, None, output);
+            own_claim::handle_denial(state, from.address, request, claim, None, output);
         }
         wire::LedgerMessage::Ask {
             request,
             holder,
             call,
-        } => asking::answer(state, from.address, request, holder, call, output),
+        } => holder_query::answer_query(state, from.address, request, holder, call, output),
         wire::LedgerMessage::Told {
             holder,
             call,
-            state: told,
-        } => asking::told(state, call, holder, told, output),
+            state: outcome,
+        } => holder_query::handle_holder_answer(state, call, holder, outcome, output),
     }
 }
 
-/// The controls that a claim needs a majority of.
+/// The controls, of which a claim needs a majority.
 fn voters(state: &reducer::EngineState) -> &[SocketAddr] {
     &state.settings.control
 }
 
-/// Digest of the voters, in any order: nodes and controls that count others do not mix.
+/// Digest of the set of controls. A control declines claims of nodes with a different set, since
+/// their majorities need not overlap.
 fn voters_digest(state: &reducer::EngineState) -> u64 {
     let mut voters: Vec<String> = voters(state).iter().map(ToString::to_string).collect();
     voters.sort_unstable();
@@ -220,7 +221,7 @@
     u64::from_le_bytes(*bytes)
 }
 
-/// Sends a message, to this process itself without a link.
+/// Sends a message to a process. A message to this process itself takes no link.
 fn send(
     state: &reducer::EngineState,
     to: SocketAddr,
@@ -237,7 +238,7 @@
 }
 
 /// Sends a message to every control.
-fn send_voters(
+fn send_to_voters(
     state: &reducer::EngineState,
     message: &wire::LedgerMessage,
     output: &mut event::ReducerOutput,
--- a/crates/engine/src/ledger/acceptor.rs
+++ b/crates/engine/src/ledger/acceptor.rs
@@ -1,4 +1,5 @@
-//! The claims that a control keeps: create-only, synced before they are granted.
+//! The claims stored by a control. A claim is never overwritten, and is granted only once it is
+//! synced to disk.
 
 use std::{collections::VecDeque, net::SocketAddr};
 
@@ -8,106 +9,107 @@
 
 use crate::{event, failed_store, ledger, reducer, replication, settings};
 
-/// Records beyond twice the claims after which the file is rewritten.
+/// Number of superfluous records, in addition to twice the number of claims, above which the claims
+/// file is rewritten.
 const REWRITE_SLACK: usize = 4096;
 
 #[derive(Debug, Clone, Copy)]
-struct KeptClaim {
+struct AcceptedClaim {
     stored: wire::StoredClaim,
-    /// Batch that it is synced with.
+    /// Batch that contains the claim's record.
     batch: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct WaitingGrant {
+struct PendingGrant {
     batch: u64,
     to: SocketAddr,
     request: wire::RequestDigest,
     claim: wire::ClaimId,
 }
 
-/// Claims that this control keeps.
+/// The claims stored by a control.
 #[derive(Debug, Clone)]
 pub struct AcceptorState {
-    claims: IndexMap<wire::RequestDigest, KeptClaim>,
-    order: VecDeque<(time::MonotonicTime, wire::RequestDigest, wire::ClaimId)>,
-    /// Whether claims that were granted here can be missing.
+    claims: IndexMap<wire::RequestDigest, AcceptedClaim>,
+    expiry_order: VecDeque<(time::MonotonicTime, wire::RequestDigest, wire::ClaimId)>,
+    /// Whether the claims file may lack claims that were granted earlier.
     standing: wire::ClaimsStanding,
-    grants: VecDeque<WaitingGrant>,
-    /// Records that need no sync of their own.
-    unwritten: Vec<wire::ClaimRecord>,
+    pending_grants: VecDeque<PendingGrant>,
+    /// Records to be written with the next tick or claim; nothing waits for their sync.
+    pending_records: Vec<wire::ClaimRecord>,
     last_batch: u64,
-    synced: u64,
-    records: usize,
-    /// Present while the store keeps nothing; no claim is granted meanwhile.
-    failure: Option<failed_store::FailedStore>,
+    synced_batch: u64,
+    record_count: usize,
+    /// Set from a failed write until the full rewrite is synced. No claim is granted meanwhile.
+    store_failure: Option<failed_store::FailedStore>,
 }
 
 impl AcceptorState {
-    /// The state of a control that found these claims on its disk. One whose disk may have lost
-    /// claims grants none until those have expired everywhere; one whose folder is new grants none
-    /// until the group proves that no claim can have been granted from an earlier one.
+    /// Restores a control's claims from its disk. If the disk may have lost claims, none is granted
+    /// until the lost ones have expired. If the data folder is new, none is granted until the log
+    /// of the control group proves that no earlier folder of this control can have granted any.
     pub fn recover(
         stored: IndexMap<wire::RequestDigest, wire::StoredClaim>,
         standing: wire::ClaimsStanding,
     ) -> Self {
         let start = time::MonotonicTime::default();
-        let order = stored
+        let expiry_order = stored
             .iter()
             .map(|(request, stored)| (start, *request, stored.claim))
             .collect();
-        let records = stored.len();
+        let record_count = stored.len();
         let claims = stored
             .into_iter()
-            .map(|(request, stored)| (request, KeptClaim { stored, batch: 0 }))
+            .map(|(request, stored)| (request, AcceptedClaim { stored, batch: 0 }))
             .collect();
         Self {
             claims,
-            order,
+            expiry_order,
             standing,
-            grants: VecDeque::new(),
-            unwritten: Vec::new(),
+            pending_grants: VecDeque::new(),
+            pending_records: Vec::new(),
             last_batch: 0,
-            synced: 0,
-            records,
-            failure: None,
+            synced_batch: 0,
+            record_count,
+            store_failure: None,
         }
     }
 
-    /// Claims that are kept now.
+    /// Number of stored claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether none is kept.
+    /// Whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Whether one more claim can be kept and granted now.
-    fn can_keep(&self, most: usize) -> bool {
+    /// Whether a new claim can be stored and granted, given the largest number of claims.
+    fn can_accept(&self, max_claims: usize) -> bool {
         self.standing == wire::ClaimsStanding::Whole
-            && self.failure.is_none()
-            && self.claims.len() < most
+            && self.store_failure.is_none()
+            && self.claims.len() < max_claims
     }
 
-    fn matches(&self, request: &wire::RequestDigest, claim: wire::ClaimId) -> bool {
-        let kept = self.claims.get(request);
-        kept.is_some_and(|kept| kept.stored.claim == claim)
+    fn is_stored(&self, request: &wire::RequestDigest, claim: wire::ClaimId) -> bool {
+        let accepted = self.claims.get(request);
+        accepted.is_some_and(|accepted| accepted.stored.claim == claim)
     }
 
-    fn write(&mut self, output: &mut event::ReducerOutput) {
-        let records = std::mem::take(&mut self.unwritten);
-        self.records += records.len();
-        if self.records > 2 * self.claims.len() + REWRITE_SLACK {
-            return self.write_whole(output);
+    fn write_pending(&mut self, output: &mut event::ReducerOutput) {
+        let records = std::mem::take(&mut self.pending_records);
+        self.record_count += records.len();
+        if self.record_count > 2 * self.claims.len() + REWRITE_SLACK {
+            return self.rewrite(output);
         }
         self.persist(records, false, output);
     }
 
-    fn write_whole(&mut self, output: &mut event::ReducerOutput) {
-        let records = self.whole_file();
-        self.records = records.len();
+    fn rewrite(&mut self, output: &mut event::ReducerOutput) {
+        let records = self.all_records();
+        self.record_count = records.len();
         self.persist(records, true, output);
     }
 
@@ -127,71 +129,73 @@
         output.effects.push(event::Effect::Ledger(effect));
     }
 
-    fn whole_file(&self) -> Vec<wire::ClaimRecord> {
+    fn all_records(&self) -> Vec<wire::ClaimRecord> {
         let mut records = vec![wire::ClaimRecord::Standing(self.standing)];
-        for (request, kept) in &self.claims {
-            let claim = kept.stored.claim;
+        for (request, accepted) in &self.claims {
+            let claim = accepted.stored.claim;
             records.push(wire::ClaimRecord::Kept(*request, claim));
-            if kept.stored.is_done {
+            if accepted.stored.is_done {
                 records.push(wire::ClaimRecord::Done(*request, claim));
             }
         }
         records
     }
 
-    fn expire(&mut self, now: time::MonotonicTime, longest: std::time::Duration) {
-        while let Some((kept_at, request, claim)) = self.order.front().copied() {
-            if now.since(kept_at) < longest {
+    fn expire(&mut self, now: time::MonotonicTime, retention: std::time::Duration) {
+        while let Some((stored_at, request, claim)) = self.expiry_order.front().copied() {
+            if now.since(stored_at) < retention {
                 return;
             }
-            self.order.pop_front();
-            if self.matches(&request, claim) {
+            self.expiry_order.pop_front();
+            if self.is_stored(&request, claim) {
                 self.claims.swap_remove(&request);
             }
         }
     }
 }
 
-/// Takes the passing of time.
+/// Expires claims, resumes granting when it is safe, and writes pending records.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let (now, tunables) = (state.now, &state.settings.tunables.ledger);
-    let longest = settings::millis(tunables.retention_ms);
+    let retention = settings::millis(tunables.retention_ms);
     let replication = state.replication.as_ref();
     let is_founding_replica =
         replication.is_some_and(replication::ReplicationState::is_founding_replica);
     let Some(acceptor) = &mut state.ledger.acceptor else {
         return;
     };
-    acceptor.expire(now, longest);
-    let has_expired = now.since(time::MonotonicTime::default()) >= longest;
-    let is_proven = acceptor.standing == wire::ClaimsStanding::Unproven && is_founding_replica;
-    if acceptor.standing != wire::ClaimsStanding::Whole && (has_expired || is_proven) {
+    acceptor.expire(now, retention);
+    let is_retention_over = now.since(time::MonotonicTime::default()) >= retention;
+    let is_proven_complete =
+        acceptor.standing == wire::ClaimsStanding::Unproven && is_founding_replica;
+    if acceptor.standing != wire::ClaimsStanding::Whole && (is_retention_over || is_proven_complete)
+    {
         acceptor.standing = wire::ClaimsStanding::Whole;
         let record = wire::ClaimRecord::Standing(acceptor.standing);
-        acceptor.unwritten.push(record);
+        acceptor.pending_records.push(record);
     }
-    match &mut acceptor.failure {
+    match &mut acceptor.store_failure {
         Some(failure) if failure.is_due(now) => {
             failure.give(acceptor.last_batch + 1);
-            acceptor.unwritten.clear();
-            acceptor.write_whole(output);
+            acceptor.pending_records.clear();
+            acceptor.rewrite(output);
         }
-        None if !acceptor.unwritten.is_empty() => acceptor.write(output),
+        None if !acceptor.pending_records.is_empty() => acceptor.write_pending(output),
         _ => {}
     }
 }
 
-/// The disk has refused: no claim is granted until it has taken all of them anew.
-pub fn fail(state: &mut reducer::EngineState) {
+/// Handles a failed write: grants no claim until all claims have been written again.
+pub fn handle_store_failure(state: &mut reducer::EngineState) {
     let period = settings::millis(state.settings.tunables.replication.rewrite_ms);
     let now = state.now;
     if let Some(acceptor) = &mut state.ledger.acceptor {
-        acceptor.failure = Some(failed_store::FailedStore::new(now, period));
+        acceptor.store_failure = Some(failed_store::FailedStore::new(now, period));
     }
 }
 
-/// Takes a claim: keeps it if no other one is kept.
-pub fn take_claim(
+/// Handles a claim: stores it unless another claim on the request is stored.
+pub fn handle_claim(
     state: &mut reducer::EngineState,
     from: SocketAddr,
     request: wire::RequestDigest,
@@ -200,50 +204,50 @@
     output: &mut event::ReducerOutput,
 ) {
     let is_same_group = voters == ledger::voters_digest(state);
-    let most = state.settings.tunables.ledger.claims as usize;
+    let max_claims = state.settings.tunables.ledger.claims as usize;
     let now = state.now;
     let Some(acceptor) = &mut state.ledger.acceptor else {
         return ledger::send(state, from, declined(request, claim), output);
     };
     let answer = match acceptor.claims.get(&request).copied() {
-        Some(kept) if kept.stored.claim != claim => wire::LedgerMessage::Held {
+        Some(accepted) if accepted.stored.claim != claim => wire::LedgerMessage::Held {
             request,
             claim,
-            holder: kept.stored.claim,
-            is_done: kept.stored.is_done,
+            holder: accepted.stored.claim,
+            is_done: accepted.stored.is_done,
         },
-        Some(kept) if kept.batch <= acceptor.synced => {
+        Some(accepted) if accepted.batch <= acceptor.synced_batch => {
             wire::LedgerMessage::Granted { request, claim }
         }
-        Some(kept) => {
-            let batch = kept.batch;
-            let grant = WaitingGrant {
+        Some(accepted) => {
+            let batch = accepted.batch;
+            let grant = PendingGrant {
                 batch,
                 to: from,
                 request,
                 claim,
             };
-            return acceptor.grants.push_back(grant);
+            return acceptor.pending_grants.push_back(grant);
         }
-        None if !is_same_group || !acceptor.can_keep(most) => declined(request, claim),
+        None if !is_same_group || !acceptor.can_accept(max_claims) => declined(request, claim),
         None => {
-            acceptor.keep(request, claim, now);
-            acceptor.write(output);
+            acceptor.store_claim(request, claim, now);
+            acceptor.write_pending(output);
             let batch = acceptor.last_batch;
-            let grant = WaitingGrant {
+            let grant = PendingGrant {
                 batch,
                 to: from,
                 request,
                 claim,
             };
-            return acceptor.grants.push_back(grant);
+            return acceptor.pending_grants.push_back(grant);
         }
     };
     ledger::send(state, from, answer, output);
 }
 
 impl AcceptorState {
-    fn keep(
+    fn store_claim(
         &mut self,
         request: wire::RequestDigest,
         claim: wire::ClaimId,
@@ -254,10 +258,10 @@
             is_done: false,
         };
         let batch = self.last_batch + 1;
-        self.claims.insert(request, KeptClaim { stored, batch });
-        self.order.push_back((now, request, claim));
+        self.claims.insert(request, AcceptedClaim { stored, batch });
+        self.expiry_order.push_back((now, request, claim));
         let record = wire::ClaimRecord::Kept(request, claim);
-        self.unwritten.push(record);
+        self.pending_records.push(record);
     }
 }
 
@@ -265,26 +269,30 @@
     wire::LedgerMessage::Declined { request, claim }
 }
 
-/// Takes the store's word that a batch is synced: what waits for it is granted.
-pub fn persisted(state: &mut reducer::EngineState, batch: u64, output: &mut event::ReducerOutput) {
+/// Handles the report that a batch is synced, and sends the grants that waited for it.
+pub fn handle_persisted(
+    state: &mut reducer::EngineState,
+    batch: u64,
+    output: &mut event::ReducerOutput,
+) {
     let Some(acceptor) = &mut state.ledger.acceptor else {
         return;
     };
-    if let Some(failure) = &acceptor.failure {
+    if let Some(failure) = &acceptor.store_failure {
         if !failure.has_returned(batch) {
             return;
         }
-        acceptor.failure = None;
+        acceptor.store_failure = None;
     }
-    acceptor.synced = acceptor.synced.max(batch);
+    acceptor.synced_batch = acceptor.synced_batch.max(batch);
     let mut granted = Vec::new();
-    while let Some(grant) = acceptor.grants.front().copied() {
-        if grant.batch > acceptor.synced {
+    while let Some(grant) = acceptor.pending_grants.front().copied() {
+        if grant.batch > acceptor.synced_batch {
             break;
         }
-        acceptor.grants.pop_front();
-        // It may have been released while it was written.
-        if acceptor.matches(&grant.request, grant.claim) {
+        acceptor.pending_grants.pop_front();
+        // The claim may have been released before it was synced.
+        if acceptor.is_stored(&grant.request, grant.claim) {
             granted.push(grant);
         }
     }
@@ -295,8 +303,8 @@
     }
 }
 
-/// Forgets a claim that nothing ran under.
-pub fn release(
+/// Removes a claim under which nothing ran.
+pub fn handle_release(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
     claim: wire::ClaimId,
@@ -304,14 +312,14 @@
     let Some(acceptor) = &mut state.ledger.acceptor else {
         return;
     };
-    if acceptor.matches(&request, claim) {
+    if acceptor.is_stored(&request, claim) {
         acceptor.claims.swap_remove(&request);
         let record = wire::ClaimRecord::Released(request, claim);
-        acceptor.unwritten.push(record);
+        acceptor.pending_records.push(record);
     }
 }
 
-/// Notes that the request of a claim ran.
+/// Records that the request of a claim ran.
 pub fn mark_done(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
@@ -320,12 +328,12 @@
     let Some(acceptor) = &mut state.ledger.acceptor else {
         return;
     };
-    if let Some(kept) = acceptor.claims.get_mut(&request)
-        && kept.stored.claim == claim
-        && !kept.stored.is_done
+    if let Some(accepted) = acceptor.claims.get_mut(&request)
+        && accepted.stored.claim == claim
+        && !accepted.stored.is_done
     {
-        kept.stored.is_done = true;
+        accepted.stored.is_done = true;
         let record = wire::ClaimRecord::Done(request, claim);
-        acceptor.unwritten.push(record);
+        acceptor.pending_records.push(record);
     }
 }
--- a/crates/engine/src/ledger/claims.rs
+++ b/crates/engine/src/ledger/claim_table.rs
@@ -1,4 +1,4 @@
-//! The claims of this node and the calls that wait for one.
+//! The claims of this node, and the calls that wait for another claim.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -8,39 +8,40 @@
 
 use crate::settings;
 
-/// Claims that were given up and are remembered as such, so that others learn it when they ask.
-const MOST_ABANDONED: usize = 4096;
+/// Number of released claims that a node remembers, so that it can tell others that nothing ran
+/// under them.
+const MAX_RELEASED: usize = 4096;
 
-/// Who is told when a claim's request has ended.
+/// A call that waits for the outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ClaimWaiter {
-    /// Peers address of its node; this process's own for a call here.
+    /// Peers address of the call's node, which may be this process.
     pub(super) node: SocketAddr,
-    /// The call there.
+    /// The call at that node.
     pub(super) call: ids::CallId,
 }
 
-/// The votes on a claim so far.
+/// Progress of a claim that has no majority yet.
 #[derive(Debug, Clone, Default)]
-pub(super) struct ClaimRace {
-    pub(super) began: time::MonotonicTime,
-    pub(super) sent: time::MonotonicTime,
+pub(super) struct GrantTally {
+    pub(super) began_at: time::MonotonicTime,
+    pub(super) sent_at: time::MonotonicTime,
     pub(super) granted: IndexSet<SocketAddr>,
     pub(super) denied: IndexSet<SocketAddr>,
-    /// Another claim that a control keeps.
-    pub(super) rival: Option<wire::StoredClaim>,
+    /// A competing claim that a control has stored.
+    pub(super) competing: Option<wire::StoredClaim>,
 }
 
-/// How far a claim has come.
+/// State of a claim.
 #[derive(Debug, Clone)]
 pub(super) enum ClaimPhase {
-    /// Votes are asked for; nothing was sent.
-    Racing(ClaimRace),
-    /// It has a majority; its call may be sent.
+    /// Grants are being collected; nothing has been sent to a target.
+    Collecting(GrantTally),
+    /// The claim has a majority, so its call may be sent.
     Running,
-    /// Its call was answered.
+    /// The call was answered. Holds the answer if it was small enough to be stored.
     Finished(Option<wire::KeptAnswer>),
-    /// Its call may have run.
+    /// The call may or may not have run.
     Unknown,
 }
 
@@ -53,29 +54,29 @@
     pub(super) waiters: Vec<ClaimWaiter>,
 }
 
-/// A call that waits for what the holder of a claim says.
+/// A call that waits for the holder of a claim.
 #[derive(Debug, Clone)]
 pub(super) struct WaitingCall {
     pub(super) request: wire::RequestDigest,
     pub(super) holder: wire::ClaimId,
     pub(super) is_done: bool,
-    pub(super) asked: time::MonotonicTime,
-    /// When the holder last answered; when it was first asked before that.
-    pub(super) heard: time::MonotonicTime,
+    pub(super) queried_at: time::MonotonicTime,
+    /// Time of the holder's latest answer, or of the first query before any answer.
+    pub(super) heard_at: time::MonotonicTime,
     pub(super) is_running: bool,
 }
 
-/// Claims of this node, and calls that wait for one.
+/// The claims of this node, and the calls that wait for another claim.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimTable {
     pub(super) last_number: u64,
     pub(super) claims: IndexMap<wire::RequestDigest, OwnClaim>,
     pub(super) by_call: IndexMap<ids::CallId, wire::RequestDigest>,
-    pub(super) waiting: IndexMap<ids::CallId, WaitingCall>,
-    /// Calls that claim again at a time.
-    pub(super) again: IndexMap<ids::CallId, (time::MonotonicTime, wire::RequestDigest)>,
-    abandoned: IndexSet<wire::ClaimId>,
-    ended: VecDeque<(time::MonotonicTime, wire::RequestDigest, wire::ClaimId)>,
+    pub(super) waiting_calls: IndexMap<ids::CallId, WaitingCall>,
+    /// Calls whose request is to be claimed again, with the time for it.
+    pub(super) backoffs: IndexMap<ids::CallId, (time::MonotonicTime, wire::RequestDigest)>,
+    released: IndexSet<wire::ClaimId>,
+    ended_claims: VecDeque<(time::MonotonicTime, wire::RequestDigest, wire::ClaimId)>,
     kept_bytes: usize,
 }
 
@@ -85,39 +86,39 @@
         self.claims.get(request).map(|own| own.claim)
     }
 
-    /// The request whose claim a call holds or tries to hold.
+    /// The request that a call has claimed or is claiming.
     pub(super) fn request_of(&self, call: ids::CallId) -> Option<wire::RequestDigest> {
         self.by_call.get(&call).copied()
     }
 
-    /// Whether no call here holds a claim.
+    /// Whether no call of this node holds or requests a claim.
     pub(super) fn has_no_calls(&self) -> bool {
         self.by_call.is_empty()
     }
 
-    /// Answers that are kept now, in bytes.
+    /// Size of the stored answers in bytes.
     pub fn kept_bytes(&self) -> usize {
         self.kept_bytes
     }
 
-    pub(super) fn forget_waiting(&mut self, call: ids::CallId) {
-        self.waiting.swap_remove(&call);
-        self.again.swap_remove(&call);
+    pub(super) fn remove_waiting(&mut self, call: ids::CallId) {
+        self.waiting_calls.swap_remove(&call);
+        self.backoffs.swap_remove(&call);
     }
 
-    /// Takes a claim out as one that nothing ran under.
-    pub(super) fn abandon(&mut self, request: &wire::RequestDigest) -> Option<OwnClaim> {
+    /// Removes a claim under which nothing ran, and remembers its id.
+    pub(super) fn release(&mut self, request: &wire::RequestDigest) -> Option<OwnClaim> {
         let own = self.claims.swap_remove(request)?;
         self.by_call.swap_remove(&own.call);
-        if self.abandoned.len() >= MOST_ABANDONED {
-            self.abandoned.shift_remove_index(0);
+        if self.released.len() >= MAX_RELEASED {
+            self.released.shift_remove_index(0);
         }
-        self.abandoned.insert(own.claim);
+        self.released.insert(own.claim);
         Some(own)
     }
 
-    /// Ends a claim whose call was sent; returns who waits for it.
-    pub(super) fn end(
+    /// Ends a claim whose call was sent. Returns the calls that wait for its outcome.
+    pub(super) fn end_claim(
         &mut self,
         request: &wire::RequestDigest,
         phase: ClaimPhase,
@@ -131,18 +132,19 @@
         }
         own.phase = phase;
         self.by_call.swap_remove(&own.call);
-        self.ended.push_back((now, *request, own.claim));
+        self.ended_claims.push_back((now, *request, own.claim));
         std::mem::take(&mut own.waiters)
     }
 
-    /// What became of a claim; who asks is told again when a running one has ended.
+    /// Returns the state of a claim. If it is still running, the waiter is registered and gets the
+    /// outcome later.
     pub(super) fn state_of(
         &mut self,
         request: &wire::RequestDigest,
         holder: wire::ClaimId,
         waiter: ClaimWaiter,
     ) -> wire::ClaimState {
-        if self.abandoned.contains(&holder) {
+        if self.released.contains(&holder) {
             return wire::ClaimState::NeverRan;
         }
         let own = self.claims.get_mut(request);
@@ -150,7 +152,7 @@
             return wire::ClaimState::Unknown;
         };
         match &own.phase {
-            ClaimPhase::Racing(_) | ClaimPhase::Running => {
+            ClaimPhase::Collecting(_) | ClaimPhase::Running => {
                 if !own.waiters.contains(&waiter) {
                     own.waiters.push(waiter);
                 }
@@ -161,17 +163,17 @@
         }
     }
 
-    /// Forgets answers that are too old or too many.
+    /// Removes answers that are too old, and the oldest ones above the limits on count and size.
     pub(super) fn expire(&mut self, now: time::MonotonicTime, tunables: &settings::LedgerTunables) {
-        let longest = Duration::from_millis(tunables.kept_ms);
-        while let Some((ended, request, claim)) = self.ended.front().copied() {
-            let is_over = now.since(ended) >= longest
-                || self.ended.len() > tunables.kept_answers as usize
+        let max_age = Duration::from_millis(tunables.kept_ms);
+        while let Some((ended_at, request, claim)) = self.ended_claims.front().copied() {
+            let is_expired = now.since(ended_at) >= max_age
+                || self.ended_claims.len() > tunables.kept_answers as usize
                 || self.kept_bytes > tunables.kept_bytes as usize;
-            if !is_over {
+            if !is_expired {
                 return;
             }
-            self.ended.pop_front();
+            self.ended_claims.pop_front();
             if self.claim_of(&request) != Some(claim) {
                 continue;
             }
--- a/crates/engine/src/ledger/asking.rs
+++ b/crates/engine/src/ledger/holder_query.rs
@@ -1,4 +1,4 @@
-//! Calls whose request another claim stands for: what became of it is asked of its holder.
+//! Calls whose request is claimed already: the outcome is queried from the holder of the claim.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,17 +8,17 @@
 
 use crate::{
     calls, event,
-    ledger::{self, claims, race},
+    ledger::{self, claim_table, own_claim},
     reducer, settings,
 };
 
-/// Time between two questions to a holder.
-const ASK_PERIOD: Duration = Duration::from_millis(300);
-/// Longest random wait before a request is claimed again.
-const LONGEST_BACKOFF_MS: u64 = 60;
+/// Interval between two queries to a holder.
+const QUERY_INTERVAL: Duration = Duration::from_millis(300);
+/// Longest random delay before a request is claimed again.
+const MAX_BACKOFF_MS: u64 = 60;
 
-/// Has a call wait for a claim of this node.
-pub fn wait_for(
+/// Lets a call wait for the outcome of a claim of this node.
+pub fn wait_for_own(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     request: wire::RequestDigest,
@@ -26,7 +26,7 @@
     output: &mut event::ReducerOutput,
 ) {
     let is_done = false;
-    ask_rival(
+    query_holder(
         state,
         call,
         request,
@@ -35,34 +35,34 @@
     );
 }
 
-/// Has a call wait for a claim, wherever it is held.
-pub fn ask_rival(
+/// Lets a call wait for the outcome of a claim and queries its holder.
+pub fn query_holder(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     request: wire::RequestDigest,
-    rival: wire::StoredClaim,
+    competing: wire::StoredClaim,
     output: &mut event::ReducerOutput,
 ) {
-    let waiting = claims::WaitingCall {
+    let waiting = claim_table::WaitingCall {
         request,
-        holder: rival.claim,
-        is_done: rival.is_done,
-        asked: state.now,
-        heard: state.now,
+        holder: competing.claim,
+        is_done: competing.is_done,
+        queried_at: state.now,
+        heard_at: state.now,
         is_running: false,
     };
-    state.ledger.table.waiting.insert(call, waiting);
-    let holder = rival.claim;
-    let question = wire::LedgerMessage::Ask {
+    state.ledger.table.waiting_calls.insert(call, waiting);
+    let holder = competing.claim;
+    let query = wire::LedgerMessage::Ask {
         request,
         holder,
         call,
     };
-    ledger::send(state, holder.node, question, output);
+    ledger::send(state, holder.node, query, output);
 }
 
-/// Answers a node that asks about a claim of this one.
-pub fn answer(
+/// Answers a query about a claim of this node.
+pub fn answer_query(
     state: &mut reducer::EngineState,
     from: SocketAddr,
     request: wire::RequestDigest,
@@ -70,50 +70,50 @@
     call: ids::CallId,
     output: &mut event::ReducerOutput,
 ) {
-    let waiter = claims::ClaimWaiter { node: from, call };
-    let told = state.ledger.table.state_of(&request, holder, waiter);
-    tell(state, holder, vec![waiter], &told, output);
+    let waiter = claim_table::ClaimWaiter { node: from, call };
+    let outcome = state.ledger.table.state_of(&request, holder, waiter);
+    notify_waiters(state, holder, vec![waiter], &outcome, output);
 }
 
-/// Tells what became of a claim.
-pub fn tell(
+/// Sends the state of a claim to the calls that wait for it.
+pub fn notify_waiters(
     state: &reducer::EngineState,
     holder: wire::ClaimId,
-    waiters: Vec<claims::ClaimWaiter>,
-    told: &wire::ClaimState,
+    waiters: Vec<claim_table::ClaimWaiter>,
+    outcome: &wire::ClaimState,
     output: &mut event::ReducerOutput,
 ) {
     for waiter in waiters {
         let message = wire::LedgerMessage::Told {
             holder,
             call: waiter.call,
-            state: told.clone(),
+            state: outcome.clone(),
         };
         ledger::send(state, waiter.node, message, output);
     }
 }
 
-/// Takes what a holder says.
-pub fn told(
+/// Handles the holder's answer to a query.
+pub fn handle_holder_answer(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     holder: wire::ClaimId,
-    told: wire::ClaimState,
+    outcome: wire::ClaimState,
     output: &mut event::ReducerOutput,
 ) {
     let now = state.now;
-    let waiting = state.ledger.table.waiting.get_mut(&call);
+    let waiting = state.ledger.table.waiting_calls.get_mut(&call);
     let Some(waiting) = waiting.filter(|waiting| waiting.holder == holder) else {
         return;
     };
-    if told == wire::ClaimState::Running {
-        waiting.heard = now;
+    if outcome == wire::ClaimState::Running {
+        waiting.heard_at = now;
         waiting.is_running = true;
         return;
     }
     let (request, is_done) = (waiting.request, waiting.is_done);
-    state.ledger.table.waiting.swap_remove(&call);
-    match told {
+    state.ledger.table.waiting_calls.swap_remove(&call);
+    match outcome {
         wire::ClaimState::Finished(Some(answer)) => {
             let effect = calls::CallEffect::Replay(call, answer);
             output.effects.push(event::Effect::Calls(effect));
@@ -122,75 +122,76 @@
         wire::ClaimState::NeverRan => {
             let claim = holder;
             let message = wire::LedgerMessage::Release { request, claim };
-            ledger::send_voters(state, &message, output);
-            let wait = state.random.random_range(0..=LONGEST_BACKOFF_MS);
+            ledger::send_to_voters(state, &message, output);
+            let wait = state.random.random_range(0..=MAX_BACKOFF_MS);
             let due = now + Duration::from_millis(wait);
-            state.ledger.table.again.insert(call, (due, request));
+            state.ledger.table.backoffs.insert(call, (due, request));
         }
         wire::ClaimState::Unknown if is_done => output.refuse(call, already_done()),
         wire::ClaimState::Unknown | wire::ClaimState::Running => {
-            output.refuse(call, race::unproven());
+            output.refuse(call, own_claim::unproven_refusal());
         }
     }
 }
 
-/// Takes the passing of time: holders are asked again, and waiting ends with the deadline.
+/// Claims requests again whose backoff is over, repeats queries, and refuses calls whose deadline
+/// has passed or whose holder does not answer.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
-    start_again(state, output);
+    claim_again(state, output);
     let now = state.now;
-    let longest = settings::millis(state.settings.tunables.ledger.ask_ms);
+    let holder_timeout = settings::millis(state.settings.tunables.ledger.ask_ms);
     let mut refused = Vec::new();
-    let mut asked = Vec::new();
-    for (call, waiting) in &mut state.ledger.table.waiting {
+    let mut queries = Vec::new();
+    for (call, waiting) in &mut state.ledger.table.waiting_calls {
         let record = state.calls.ingress.get(call);
-        let is_over = record.is_none_or(|record| record.deadline <= now);
-        let is_silent = now.since(waiting.heard) >= longest;
-        if is_over || is_silent {
+        let is_overdue = record.is_none_or(|record| record.deadline <= now);
+        let is_silent = now.since(waiting.heard_at) >= holder_timeout;
+        if is_overdue || is_silent {
             refused.push((*call, refusal(waiting, is_silent)));
-        } else if now.since(waiting.asked) >= ASK_PERIOD {
-            waiting.asked = now;
-            asked.push((*call, waiting.request, waiting.holder));
+        } else if now.since(waiting.queried_at) >= QUERY_INTERVAL {
+            waiting.queried_at = now;
+            queries.push((*call, waiting.request, waiting.holder));
         }
     }
     for (call, refusal) in refused {
-        state.ledger.table.waiting.swap_remove(&call);
+        state.ledger.table.waiting_calls.swap_remove(&call);
         output.refuse(call, refusal);
     }
-    for (call, request, holder) in asked {
-        let question = wire::LedgerMessage::Ask {
+    for (call, request, holder) in queries {
+        let query = wire::LedgerMessage::Ask {
             request,
             holder,
             call,
         };
-        ledger::send(state, holder.node, question, output);
+        ledger::send(state, holder.node, query, output);
     }
 }
 
-fn start_again(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
+fn claim_again(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let now = state.now;
-    let due = state.ledger.table.again.iter();
+    let due = state.ledger.table.backoffs.iter();
     let due: Vec<_> = due
         .filter(|(_, (due, _))| *due <= now)
         .map(|(call, (_, request))| (*call, *request))
         .collect();
     for (call, request) in due {
-        state.ledger.table.again.swap_remove(&call);
+        state.ledger.table.backoffs.swap_remove(&call);
         let record = state.calls.ingress.get(&call);
         if record.is_none_or(|record| record.deadline <= now) {
-            output.refuse(call, race::unproven());
+            output.refuse(call, own_claim::unproven_refusal());
         } else {
             ledger::claim_call(state, call, request, output);
         }
     }
 }
 
-fn refusal(waiting: &claims::WaitingCall, is_silent: bool) -> wire_calls::CallRefusal {
+fn refusal(waiting: &claim_table::WaitingCall, is_silent: bool) -> wire_calls::CallRefusal {
     if waiting.is_done {
         already_done()
     } else if waiting.is_running && !is_silent {
         wire_calls::CallRefusal::unknown(code::ResultCode::RunInProgress)
     } else {
-        race::unproven()
+        own_claim::unproven_refusal()
     }
 }
 
--- a/crates/engine/src/ledger/race.rs
+++ b/crates/engine/src/ledger/own_claim.rs
@@ -1,4 +1,4 @@
-//! A node's own claim: from the first vote to the end of its call.
+//! Lifecycle of a node's own claim, from the request for grants to the end of its call.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,24 +7,24 @@
 
 use crate::{
     calls, event,
-    ledger::{self, asking, claims},
+    ledger::{self, claim_table, holder_query},
     reducer, settings,
 };
 
-/// Time after which votes that have not come are asked for again.
-const RESEND_PERIOD: Duration = Duration::from_millis(100);
-/// Time after which the later of two claims that split the votes gives in.
-const SPLIT_TIME: Duration = Duration::from_millis(150);
+/// Interval after which missing grants are requested again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after which the later of two claims withdraws when neither gets a majority.
+const SPLIT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Starts a claim for a call.
-pub fn start(
+/// Requests a claim for a call.
+pub fn start_claim(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     request: wire::RequestDigest,
     output: &mut event::ReducerOutput,
 ) {
     if ledger::voters(state).is_empty() {
-        return output.refuse(call, unproven());
+        return output.refuse(call, unproven_refusal());
     }
     let identity = &state.settings.identity;
     let (incarnation, node) = (identity.incarnation, identity.address);
@@ -35,15 +35,15 @@
         number: table.last_number,
         node,
     };
-    let race = claims::ClaimRace {
-        began: state.now,
-        sent: state.now,
-        ..claims::ClaimRace::default()
+    let tally = claim_table::GrantTally {
+        began_at: state.now,
+        sent_at: state.now,
+        ..claim_table::GrantTally::default()
     };
-    let own = claims::OwnClaim {
+    let own = claim_table::OwnClaim {
         claim,
         call,
-        phase: claims::ClaimPhase::Racing(race),
+        phase: claim_table::ClaimPhase::Collecting(tally),
         waiters: Vec::new(),
     };
     table.claims.insert(request, own);
@@ -54,24 +54,24 @@
         claim,
         voters,
     };
-    ledger::send_voters(state, &message, output);
+    ledger::send_to_voters(state, &message, output);
 }
 
-/// The race of a claim, unless it is over.
-fn race_of<'a>(
+/// The pending grants of a claim, unless it has been decided.
+fn tally_of<'a>(
     state: &'a mut reducer::EngineState,
     request: &wire::RequestDigest,
     claim: wire::ClaimId,
-) -> Option<&'a mut claims::ClaimRace> {
+) -> Option<&'a mut claim_table::GrantTally> {
     let own = state.ledger.table.claims.get_mut(request)?;
     match &mut own.phase {
-        claims::ClaimPhase::Racing(race) if own.claim == claim => Some(race),
+        claim_table::ClaimPhase::Collecting(tally) if own.claim == claim => Some(tally),
         _ => None,
     }
 }
 
-/// Takes a control's vote for a claim.
-pub fn granted(
+/// Handles a control's grant; a majority decides the claim.
+pub fn handle_grant(
     state: &mut reducer::EngineState,
     from: SocketAddr,
     request: wire::RequestDigest,
@@ -80,95 +80,96 @@
 ) {
     let majority = majority(state);
     let is_voter = ledger::voters(state).contains(&from);
-    let Some(race) = race_of(state, &request, claim) else {
+    let Some(tally) = tally_of(state, &request, claim) else {
         return;
     };
     if is_voter {
-        race.denied.swap_remove(&from);
-        race.granted.insert(from);
+        tally.denied.swap_remove(&from);
+        tally.granted.insert(from);
     }
-    if race.granted.len() < majority {
+    if tally.granted.len() < majority {
         return;
     }
     let own = state.ledger.table.claims.get_mut(&request);
-    let own = own.expect("its race was just found");
-    own.phase = claims::ClaimPhase::Running;
+    let own = own.expect("the claim exists");
+    own.phase = claim_table::ClaimPhase::Running;
     let claimed = calls::CallEvent::Claimed(own.call);
     output.follow(event::Event::Calls(claimed));
 }
 
-/// Takes a control's vote against a claim.
-pub fn denied(
+/// Handles a control's denial.
+pub fn handle_denial(
     state: &mut reducer::EngineState,
     from: SocketAddr,
     request: wire::RequestDigest,
     claim: wire::ClaimId,
-    rival: Option<wire::StoredClaim>,
+    competing: Option<wire::StoredClaim>,
     output: &mut event::ReducerOutput,
 ) {
     let (count, majority) = (ledger::voters(state).len(), majority(state));
     let is_voter = ledger::voters(state).contains(&from);
-    let Some(race) = race_of(state, &request, claim) else {
+    let Some(tally) = tally_of(state, &request, claim) else {
         return;
     };
     if !is_voter {
         return;
     }
-    race.denied.insert(from);
-    race.rival = match (rival, race.rival) {
+    tally.denied.insert(from);
+    tally.competing = match (competing, tally.competing) {
         (Some(new), Some(old)) if new.claim == old.claim => Some(wire::StoredClaim {
             is_done: new.is_done || old.is_done,
             ..new
         }),
         (new, old) => new.or(old),
     };
-    if count - race.denied.len() < majority {
-        lose(state, request, output);
+    if count - tally.denied.len() < majority {
+        withdraw(state, request, output);
     }
 }
 
-/// Gives a claim up that has no majority, and asks the one that is in its way.
-fn lose(
+/// Withdraws a claim that cannot get a majority, and queries the holder of the competing claim.
+fn withdraw(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
     output: &mut event::ReducerOutput,
 ) {
-    let Some(own) = abandon(state, request, output) else {
+    let Some(own) = release(state, request, output) else {
         return;
     };
-    let claims::ClaimPhase::Racing(race) = own.phase else {
-        unreachable!("only a race is lost");
+    let claim_table::ClaimPhase::Collecting(tally) = own.phase else {
+        unreachable!("only undecided claims are withdrawn");
     };
-    match race.rival {
-        Some(rival) => asking::ask_rival(state, own.call, request, rival, output),
-        None => output.refuse(own.call, unproven()),
+    match tally.competing {
+        Some(competing) => holder_query::query_holder(state, own.call, request, competing, output),
+        None => output.refuse(own.call, unproven_refusal()),
     }
 }
 
-/// Releases a claim that nothing was sent under, and tells who waits for it.
-fn abandon(
+/// Releases a claim under which nothing was sent, and notifies the calls that wait for it.
+fn release(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
     output: &mut event::ReducerOutput,
-) -> Option<claims::OwnClaim> {
-    let mut own = state.ledger.table.abandon(&request)?;
+) -> Option<claim_table::OwnClaim> {
+    let mut own = state.ledger.table.release(&request)?;
     let claim = own.claim;
     let message = wire::LedgerMessage::Release { request, claim };
-    ledger::send_voters(state, &message, output);
+    ledger::send_to_voters(state, &message, output);
     let waiters = std::mem::take(&mut own.waiters);
-    asking::tell(state, claim, waiters, &wire::ClaimState::NeverRan, output);
+    holder_query::notify_waiters(state, claim, waiters, &wire::ClaimState::NeverRan, output);
     Some(own)
 }
 
-/// Takes the end of a call that was neither answered nor refused: its task is gone.
-pub fn give_up(
+/// Handles the end of a call whose task ended without an answer or a refusal.
+pub fn settle_abandoned(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
     output: &mut event::ReducerOutput,
 ) {
     let own = state.ledger.table.claims.get(&request);
-    let is_racing = own.is_some_and(|own| matches!(own.phase, claims::ClaimPhase::Racing(_)));
-    let outcome = if is_racing {
+    let is_undecided =
+        own.is_some_and(|own| matches!(own.phase, claim_table::ClaimPhase::Collecting(_)));
+    let outcome = if is_undecided {
         wire_calls::CallOutcome::NotRun
     } else {
         wire_calls::CallOutcome::Unknown
@@ -176,7 +177,7 @@
     settle(state, request, outcome, output);
 }
 
-/// Takes the refusal of a claimed call.
+/// Handles the refusal of a claimed call.
 pub fn settle(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
@@ -184,15 +185,15 @@
     output: &mut event::ReducerOutput,
 ) {
     match outcome {
-        wire_calls::CallOutcome::NotRun => drop(abandon(state, request, output)),
+        wire_calls::CallOutcome::NotRun => drop(release(state, request, output)),
         wire_calls::CallOutcome::Unknown | wire_calls::CallOutcome::Ran => {
-            end(state, request, claims::ClaimPhase::Unknown, output);
+            end_claim(state, request, claim_table::ClaimPhase::Unknown, output);
         }
     }
 }
 
-/// Takes the whole answer of a claimed call.
-pub fn answered(
+/// Completes a claim whose call was answered in full.
+pub fn complete(
     state: &mut reducer::EngineState,
     call: ids::CallId,
     answer: Option<wire::KeptAnswer>,
@@ -205,60 +206,68 @@
         return;
     };
     let message = wire::LedgerMessage::Done { request, claim };
-    ledger::send_voters(state, &message, output);
-    end(state, request, claims::ClaimPhase::Finished(answer), output);
+    ledger::send_to_voters(state, &message, output);
+    end_claim(
+        state,
+        request,
+        claim_table::ClaimPhase::Finished(answer),
+        output,
+    );
 }
 
-fn end(
+fn end_claim(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
-    phase: claims::ClaimPhase,
+    phase: claim_table::ClaimPhase,
     output: &mut event::ReducerOutput,
 ) {
     let now = state.now;
     let Some(claim) = state.ledger.table.claim_of(&request) else {
         return;
     };
-    let told = match &phase {
-        claims::ClaimPhase::Finished(answer) => wire::ClaimState::Finished(answer.clone()),
+    let outcome = match &phase {
+        claim_table::ClaimPhase::Finished(answer) => wire::ClaimState::Finished(answer.clone()),
         _ => wire::ClaimState::Unknown,
     };
-    let waiters = state.ledger.table.end(&request, phase, now);
-    asking::tell(state, claim, waiters, &told, output);
+    let waiters = state.ledger.table.end_claim(&request, phase, now);
+    holder_query::notify_waiters(state, claim, waiters, &outcome, output);
 }
 
-/// Takes the passing of time: votes are asked for again, splits end, late claims are given up.
+/// Requests missing grants again, and withdraws claims that are too late or lose against an earlier
+/// one.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let (now, calls) = (state.now, &state.calls.ingress);
-    let longest = settings::millis(state.settings.tunables.ledger.claim_ms);
-    let racing = state
+    let claim_timeout = settings::millis(state.settings.tunables.ledger.claim_ms);
+    let undecided = state
         .ledger
         .table
         .by_call
         .iter()
         .filter_map(|(call, request)| {
             let own = state.ledger.table.claims.get(request)?;
-            let claims::ClaimPhase::Racing(race) = &own.phase else {
+            let claim_table::ClaimPhase::Collecting(tally) = &own.phase else {
                 return None;
             };
-            let is_over = calls.get(call).is_none_or(|call| call.deadline <= now);
-            let is_split = now.since(race.began) >= SPLIT_TIME
-                && race.rival.is_some_and(|rival| rival.claim < own.claim);
-            let is_lost = is_over || is_split || now.since(race.began) >= longest;
-            let is_due = now.since(race.sent) >= RESEND_PERIOD;
-            (is_lost || is_due).then_some((*request, own.claim, is_lost))
+            let is_overdue = calls.get(call).is_none_or(|call| call.deadline <= now);
+            let is_split = now.since(tally.began_at) >= SPLIT_TIMEOUT
+                && tally
+                    .competing
+                    .is_some_and(|competing| competing.claim < own.claim);
+            let is_withdrawn = is_overdue || is_split || now.since(tally.began_at) >= claim_timeout;
+            let is_due = now.since(tally.sent_at) >= RESEND_INTERVAL;
+            (is_withdrawn || is_due).then_some((*request, own.claim, is_withdrawn))
         });
-    let racing: Vec<_> = racing.collect();
-    for (request, claim, is_lost) in racing {
-        if is_lost {
-            lose(state, request, output);
+    let undecided: Vec<_> = undecided.collect();
+    for (request, claim, is_withdrawn) in undecided {
+        if is_withdrawn {
+            withdraw(state, request, output);
         } else {
-            send_again(state, request, claim, output);
+            resend(state, request, claim, output);
         }
     }
 }
 
-fn send_again(
+fn resend(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
     claim: wire::ClaimId,
@@ -266,13 +275,13 @@
 ) {
     let now = state.now;
     let voters = ledger::voters_digest(state);
-    let Some(race) = race_of(state, &request, claim) else {
+    let Some(tally) = tally_of(state, &request, claim) else {
         return;
     };
-    race.sent = now;
-    // Those that kept a rival may have forgotten it meanwhile.
-    race.denied.clear();
-    let granted = race.granted.clone();
+    tally.sent_at = now;
+    // Controls that stored the competing claim may have released it meanwhile.
+    tally.denied.clear();
+    let granted = tally.granted.clone();
     let message = wire::LedgerMessage::Claim {
         request,
         claim,
@@ -289,7 +298,7 @@
     ledger::voters(state).len() / 2 + 1
 }
 
-/// Nothing was sent now, but the request may have run under an earlier send of its key.
-pub fn unproven() -> wire_calls::CallRefusal {
+/// Refusal of a request that was not sent now, but may have run under an earlier call with its key.
+pub fn unproven_refusal() -> wire_calls::CallRefusal {
     wire_calls::CallRefusal::unknown(code::ResultCode::ProofMissing)
 }
--- a/crates/engine/src/replication.rs
+++ b/crates/engine/src/replication.rs
@@ -2,9 +2,9 @@
 //!
 //! The algorithm follows Raft: each term has at most one leader, which appends to the log. An entry
 //! is committed, and thereby immutable, once a majority of voters has synced it to disk and it (or
-//! an entry after it) was written in the current leader's own term. No change is acknowledged and no
-//! catalogue version is sent to the nodes before that: every effect that depends on a write is held
-//! back until the store reports the write as synced.
+//! an entry after it) was written in the current leader's own term. No change is acknowledged and
+//! no catalogue version is sent to the nodes before that: every effect that depends on a write is
+//! held back until the store reports the write as synced.
 
 mod acceptance;
 mod confirmation;
@@ -123,7 +123,7 @@
     },
     /// The proposal was rejected and will not be applied later.
     Refused {
-        /// Reason of the rejection.
+        /// Reason for the rejection.
         code: code::ResultCode,
         /// Current catalogue version.
         version: ids::CatalogueVersion,
@@ -187,7 +187,7 @@
     introductions: IndexMap<SocketAddr, group::IntroducedReplica>,
     introduced_at: Option<time::MonotonicTime>,
     /// Set from a failed write until the full rewrite is synced. Meanwhile the replica sends no
-    /// message and rejects every request.
+    /// message and takes no proposal.
     store_failure: Option<failed_store::FailedStore>,
     /// Roll-out orders that were in the log when the process started.
     recovered_orders: IndexSet<ids::CatalogueVersion>,
--- a/crates/engine/src/replication/persist.rs
+++ b/crates/engine/src/replication/persist.rs
@@ -64,7 +64,8 @@
 }
 
 impl WriteQueue {
-    /// A queue for a store that holds the log up to `synced` and a snapshot up to `snapshot_position`.
+    /// A queue for a store that holds the log up to `synced` and a snapshot up to
+    /// `snapshot_position`.
     pub(super) fn after(synced: ids::LogPosition, snapshot_position: ids::LogPosition) -> Self {
         Self {
             synced,
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Claims under lost, crossed and repeated messages, and controls and nodes that crash.
+//! Claims under lost, reordered and duplicated messages and crashes of controls and nodes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,29 +12,29 @@
 
 const NODES: [&str; 3] = ["node-a", "node-b", "node-c"];
 
-/// One process of the group.
-struct Process {
+/// A process of the group.
+struct FakeProcess {
     identity: membership::PeerIdentity,
     state: reducer::EngineState,
-    /// What its disk has synced.
+    /// Records that are synced to disk.
     disk: Vec<wire_ledger::ClaimRecord>,
-    /// What its disk was handed and has not synced.
+    /// Batches that are not synced yet.
     pending: Vec<ledger::ClaimBatch>,
-    /// Whether its disk takes no bytes now.
-    is_refusing: bool,
-    /// Whether its store keeps nothing until a whole file.
+    /// Whether writes fail at present.
+    is_failing: bool,
+    /// Set from a failed write until the next full rewrite.
     has_failed: bool,
-    /// Calls that were offered to a target and have not ended.
+    /// Calls that were sent to a target and have not ended.
     running: Vec<ids::CallId>,
 }
 
-struct Group {
+struct FakeGroup {
     now: time::MonotonicTime,
-    processes: Vec<Process>,
-    controls: usize,
-    mail: Vec<(usize, SocketAddr, message::PeerMessage)>,
+    processes: Vec<FakeProcess>,
+    control_count: usize,
+    messages: Vec<(usize, SocketAddr, message::PeerMessage)>,
     last_call: u64,
-    /// Whether the request went to a target without proof that it did not run there.
+    /// Whether the request was sent to a target without a later proof that it did not run.
     may_have_run: bool,
     answers: usize,
     runs: usize,
@@ -50,7 +50,7 @@
     ])
 }
 
-impl Process {
+impl FakeProcess {
     fn start(name: &str, incarnation: u64, control: &[SocketAddr]) -> Self {
         let mut reducer = node::NodeReducer::new(name, "brasov-a", &entries());
         reducer.announce(node::target(&format!("{name}-target"), "registru", 10));
@@ -62,7 +62,7 @@
             state,
             disk: Vec::new(),
             pending: Vec::new(),
-            is_refusing: false,
+            is_failing: false,
             has_failed: false,
             running: Vec::new(),
         }
@@ -94,9 +94,9 @@
     }
 }
 
-impl Group {
-    fn new(controls: usize) -> Self {
-        let names: Vec<String> = (0..controls)
+impl FakeGroup {
+    fn new(control_count: usize) -> Self {
+        let names: Vec<String> = (0..control_count)
             .map(|index| format!("control-{index}"))
             .collect();
         let control: Vec<SocketAddr> = names
@@ -104,16 +104,17 @@
             .map(|name| node::identity(name, "brasov-a", "ro-centru").address)
             .collect();
         let all = names.iter().map(String::as_str).chain(NODES);
-        let mut processes: Vec<Process> =
-            all.map(|name| Process::start(name, 1, &control)).collect();
-        for process in &mut processes[..controls] {
+        let mut processes: Vec<FakeProcess> = all
+            .map(|name| FakeProcess::start(name, 1, &control))
+            .collect();
+        for process in &mut processes[..control_count] {
             process.recover();
         }
         Self {
             now: time::MonotonicTime(1),
             processes,
-            controls,
-            mail: Vec::new(),
+            control_count,
+            messages: Vec::new(),
             last_call: 0,
             may_have_run: false,
             answers: 0,
@@ -125,22 +126,22 @@
         let now = self.now;
         let effects = reducer::reduce(&mut self.processes[index].state, now, event);
         for effect in effects {
-            self.run(index, effect);
+            self.apply_effect(index, effect);
         }
     }
 
-    fn run(&mut self, index: usize, effect: event::Effect) {
+    fn apply_effect(&mut self, index: usize, effect: event::Effect) {
         match effect {
             event::Effect::Send { to, message } => {
                 if let message::PeerMessage::Ledger(_) = message {
-                    self.mail.push((index, to, message));
+                    self.messages.push((index, to, message));
                 }
             }
             event::Effect::Ledger(ledger::LedgerEffect::Persist(batch)) => {
                 self.processes[index].pending.push(batch);
             }
             event::Effect::Calls(calls::CallEffect::Attempt(call, _)) => {
-                assert!(!self.may_have_run, "it may run a second time");
+                assert!(!self.may_have_run, "the request may run a second time");
                 self.may_have_run = true;
                 self.runs += 1;
                 self.processes[index].running.push(call);
@@ -150,12 +151,15 @@
                     assert!(!self.may_have_run, "refused as not run: {refusal:?}");
                 }
                 if refusal.outcome == wire::CallOutcome::Ran {
-                    assert!(self.answers > 0, "said to have run before an answer came");
+                    assert!(self.answers > 0, "reported as run before any answer");
                 }
                 self.finish(index, call);
             }
             event::Effect::Calls(calls::CallEffect::Replay(call, answer)) => {
-                assert!(self.answers > 0, "an answer of nothing: {answer:?}");
+                assert!(
+                    self.answers > 0,
+                    "replayed an answer that never came: {answer:?}"
+                );
                 self.finish(index, call);
             }
             _ => {}
@@ -196,7 +200,7 @@
             return self.finish(index, call);
         }
         if end == 3 {
-            // Its task is gone without a word.
+            // The call's task ends without an answer or a refusal.
             return self.finish(index, call);
         }
         let refusal = if end == 1 {
@@ -218,15 +222,15 @@
         self.reduce(index, event::Event::Calls(ended));
     }
 
-    fn deliver(&mut self, place: usize, is_repeated: bool) {
-        if self.mail.is_empty() {
+    fn deliver(&mut self, position: usize, is_duplicate: bool) {
+        if self.messages.is_empty() {
             return;
         }
-        let place = place % self.mail.len();
-        let (from, to, message) = if is_repeated {
-            self.mail[place].clone()
+        let position = position % self.messages.len();
+        let (from, to, message) = if is_duplicate {
+            self.messages[position].clone()
         } else {
-            self.mail.remove(place)
+            self.messages.remove(position)
         };
         let from = self.processes[from].identity.clone();
         let index = self
@@ -244,8 +248,8 @@
             if process.has_failed && !batch.is_full_rewrite {
                 continue;
             }
-            process.has_failed = process.is_refusing;
-            if process.is_refusing {
+            process.has_failed = process.is_failing;
+            if process.is_failing {
                 self.reduce(
                     index,
                     event::Event::Ledger(ledger::LedgerEvent::StoreFailed),
@@ -267,35 +271,35 @@
         let name = old.identity.instance.clone();
         let control = old.state.settings.control.clone();
         let disk = std::mem::take(&mut old.disk);
-        let is_refusing = old.is_refusing;
-        let mut new = Process::start(name.as_str(), next, &control);
+        let is_failing = old.is_failing;
+        let mut new = FakeProcess::start(name.as_str(), next, &control);
         new.disk = disk;
-        new.is_refusing = is_refusing;
-        if index < self.controls {
+        new.is_failing = is_failing;
+        if index < self.control_count {
             new.recover();
         }
         self.processes[index] = new;
     }
 
-    fn step(&mut self, step: Step) {
-        let node = |index: u8| self.controls + index as usize % NODES.len();
+    fn apply_step(&mut self, step: RandomStep) {
+        let node = |index: u8| self.control_count + index as usize % NODES.len();
         match step {
-            Step::Send(index) => self.send_request(node(index)),
-            Step::End(index, end) => self.end_run(node(index), end % 4),
-            Step::Deliver(place) => self.deliver(place as usize, false),
-            Step::Repeat(place) => self.deliver(place as usize, true),
-            Step::Lose(place) => {
-                if !self.mail.is_empty() {
-                    let place = place as usize % self.mail.len();
-                    self.mail.remove(place);
+            RandomStep::SendRequest(index) => self.send_request(node(index)),
+            RandomStep::EndRun(index, end) => self.end_run(node(index), end % 4),
+            RandomStep::Deliver(position) => self.deliver(position as usize, false),
+            RandomStep::Duplicate(position) => self.deliver(position as usize, true),
+            RandomStep::Drop(position) => {
+                if !self.messages.is_empty() {
+                    let position = position as usize % self.messages.len();
+                    self.messages.remove(position);
                 }
             }
-            Step::Sync(index) => self.sync(index as usize % self.controls),
-            Step::Refuse(index, is_refusing) => {
-                self.processes[index as usize % self.controls].is_refusing = is_refusing;
+            RandomStep::Sync(index) => self.sync(index as usize % self.control_count),
+            RandomStep::FailDisk(index, is_failing) => {
+                self.processes[index as usize % self.control_count].is_failing = is_failing;
             }
-            Step::Crash(index) => self.crash(index as usize % self.processes.len()),
-            Step::Pass(millis) => {
+            RandomStep::Crash(index) => self.crash(index as usize % self.processes.len()),
+            RandomStep::AdvanceTime(millis) => {
                 self.now = self.now + Duration::from_millis(u64::from(millis));
                 for index in 0..self.processes.len() {
                     self.reduce(index, event::Event::Tick);
@@ -304,55 +308,55 @@
         }
     }
 
-    /// Lets everything arrive until nothing is on its way.
+    /// Delivers all messages, syncs all disks and advances time, in 200 rounds of 20 ms.
     fn settle(&mut self) {
         for _ in 0..200 {
-            while !self.mail.is_empty() {
+            while !self.messages.is_empty() {
                 self.deliver(0, false);
             }
-            for index in 0..self.controls {
+            for index in 0..self.control_count {
                 self.sync(index);
             }
-            self.step(Step::Pass(20));
+            self.apply_step(RandomStep::AdvanceTime(20));
         }
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Step {
-    Send(u8),
-    End(u8, u8),
+enum RandomStep {
+    SendRequest(u8),
+    EndRun(u8, u8),
     Deliver(u8),
-    Repeat(u8),
-    Lose(u8),
+    Duplicate(u8),
+    Drop(u8),
     Sync(u8),
     Crash(u8),
-    Refuse(u8, bool),
-    Pass(u8),
+    FailDisk(u8, bool),
+    AdvanceTime(u8),
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
+fn steps() -> impl Strategy<Value = Vec<RandomStep>> {
     let step = prop_oneof![
-        3 => any::<u8>().prop_map(Step::Send),
-        3 => any::<(u8, u8)>().prop_map(|(index, end)| Step::End(index, end)),
-        20 => any::<u8>().prop_map(Step::Deliver),
-        2 => any::<u8>().prop_map(Step::Repeat),
-        2 => any::<u8>().prop_map(Step::Lose),
-        8 => any::<u8>().prop_map(Step::Sync),
-        1 => any::<u8>().prop_map(Step::Crash),
-        3 => any::<u8>().prop_map(Step::Pass),
+        3 => any::<u8>().prop_map(RandomStep::SendRequest),
+        3 => any::<(u8, u8)>().prop_map(|(index, end)| RandomStep::EndRun(index, end)),
+        20 => any::<u8>().prop_map(RandomStep::Deliver),
+        2 => any::<u8>().prop_map(RandomStep::Duplicate),
+        2 => any::<u8>().prop_map(RandomStep::Drop),
+        8 => any::<u8>().prop_map(RandomStep::Sync),
+        1 => any::<u8>().prop_map(RandomStep::Crash),
+        3 => any::<u8>().prop_map(RandomStep::AdvanceTime),
     ];
     prop::collection::vec(step, 1..200)
 }
 
-/// The same, with disks that refuse and take writes again.
-fn refusing_steps() -> impl Strategy<Value = Vec<Step>> {
-    let refusal =
-        any::<(u8, bool)>().prop_map(|(index, is_refusing)| Step::Refuse(index, is_refusing));
-    let refusals = prop::collection::vec((any::<prop::sample::Index>(), refusal), 0..12);
-    (steps(), refusals).prop_map(|(mut steps, refusals)| {
-        for (place, refusal) in refusals {
-            steps.insert(place.index(steps.len()), refusal);
+/// Random steps with disks that fail and recover.
+fn failing_disk_steps() -> impl Strategy<Value = Vec<RandomStep>> {
+    let failure =
+        any::<(u8, bool)>().prop_map(|(index, is_failing)| RandomStep::FailDisk(index, is_failing));
+    let failures = prop::collection::vec((any::<prop::sample::Index>(), failure), 0..12);
+    (steps(), failures).prop_map(|(mut steps, failures)| {
+        for (position, failure) in failures {
+            steps.insert(position.index(steps.len()), failure);
         }
         steps
     })
@@ -371,49 +375,49 @@
     #![proptest_config(config(400))]
 
     #[test]
-    fn never_twice(controls in prop_oneof![Just(1_usize), Just(3), Just(5)], steps in steps()) {
-        let mut group = Group::new(controls);
+    fn at_most_once(controls in prop_oneof![Just(1_usize), Just(3), Just(5)], steps in steps()) {
+        let mut group = FakeGroup::new(controls);
         for step in steps {
-            group.step(step);
+            group.apply_step(step);
         }
         group.settle();
     }
 
     #[test]
-    fn never_twice_refusing(
+    fn failing_disks_once(
         controls in prop_oneof![Just(1_usize), Just(3), Just(5)],
-        steps in refusing_steps(),
+        steps in failing_disk_steps(),
     ) {
-        let mut group = Group::new(controls);
+        let mut group = FakeGroup::new(controls);
         for step in steps {
-            group.step(step);
+            group.apply_step(step);
         }
         group.settle();
     }
 }
 
-/// A control whose disk refuses declines claims at once, and grants them once it takes writes again.
+/// A control whose disk fails declines claims at once, and grants them again once writes succeed.
 #[test]
-fn refusing_declines() {
-    let mut group = Group::new(1);
-    group.processes[0].is_refusing = true;
+fn failing_disk_declines() {
+    let mut group = FakeGroup::new(1);
+    group.processes[0].is_failing = true;
     group.send_request(1);
     group.settle();
-    assert_eq!(group.runs, 0, "no claim is granted that is not kept");
+    assert_eq!(group.runs, 0, "a claim that is not stored is not granted");
     group.send_request(2);
     group.settle();
     assert_eq!(group.runs, 0);
-    group.processes[0].is_refusing = false;
+    group.processes[0].is_failing = false;
     group.settle();
     group.send_request(3);
     group.settle();
-    assert_eq!(group.runs, 1, "the disk takes writes again");
+    assert_eq!(group.runs, 1, "the disk works again");
 }
 
 #[test]
-fn one_of_many() {
+fn concurrent_claims() {
     for controls in [1, 3, 5] {
-        let mut group = Group::new(controls);
+        let mut group = FakeGroup::new(controls);
         for index in 0..NODES.len() {
             group.send_request(controls + index);
         }
@@ -431,24 +435,27 @@
 
 #[test]
 fn released_runs_again() {
-    let mut group = Group::new(3);
+    let mut group = FakeGroup::new(3);
     group.send_request(3);
     group.settle();
     group.end_run(3, 1);
     group.send_request(4);
     group.settle();
-    assert_eq!(group.runs, 2, "the first was proven not to have run");
+    assert_eq!(
+        group.runs, 2,
+        "the first run was proven not to have happened"
+    );
 }
 
 #[test]
-fn granted_once_synced() {
-    let mut group = Group::new(1);
+fn granted_after_sync() {
+    let mut group = FakeGroup::new(1);
     group.send_request(1);
     for _ in 0..20 {
-        while !group.mail.is_empty() {
+        while !group.messages.is_empty() {
             group.deliver(0, false);
         }
-        group.step(Step::Pass(20));
+        group.apply_step(RandomStep::AdvanceTime(20));
     }
     assert_eq!(group.runs, 0, "the control's disk has not synced");
     group.sync(0);
@@ -457,52 +464,55 @@
 }
 
 #[test]
-fn minority_lost() {
-    let mut group = Group::new(3);
+fn minority_unreachable() {
+    let mut group = FakeGroup::new(3);
     let lost = group.processes[2].identity.address;
     group.send_request(3);
-    group.mail.retain(|(_, to, _)| *to != lost);
+    group.messages.retain(|(_, to, _)| *to != lost);
     group.settle();
     assert_eq!(group.runs, 1);
 }
 
 #[test]
 fn holder_crashed() {
-    let mut group = Group::new(3);
+    let mut group = FakeGroup::new(3);
     group.send_request(3);
     group.settle();
     group.crash(3);
     group.send_request(4);
     group.settle();
-    assert_eq!(group.runs, 1, "nobody can prove that the first did not run");
+    assert_eq!(
+        group.runs, 1,
+        "there is no proof that the first did not run"
+    );
 }
 
 #[test]
-fn lost_disk_waits() {
-    let mut group = Group::new(1);
+fn lost_claims_expire() {
+    let mut group = FakeGroup::new(1);
     let lost = wire_ledger::ClaimsStanding::Lost;
     let acceptor = ledger::acceptor::AcceptorState::recover(IndexMap::new(), lost);
     group.processes[0].state.ledger.acceptor = Some(acceptor);
     group.send_request(1);
     group.settle();
-    assert_eq!(group.runs, 0, "claims that it kept may be missing");
+    assert_eq!(group.runs, 0, "claims may be missing from the disk");
     let tunables = &mut group.processes[0].state.settings.tunables;
     tunables.ledger.retention_ms = 60_000;
     group.now = group.now + Duration::from_mins(1);
-    group.step(Step::Pass(20));
+    group.apply_step(RandomStep::AdvanceTime(20));
     group.send_request(1);
     group.settle();
     assert_eq!(group.runs, 1);
 }
 
 #[test]
-fn other_voters() {
-    let mut group = Group::new(3);
+fn mismatched_voters() {
+    let mut group = FakeGroup::new(3);
     group.processes[3].state.settings.control.pop();
     group.send_request(3);
     group.settle();
     assert_eq!(
         group.runs, 0,
-        "a node that counts other controls gets no claim"
+        "a node with another set of controls is granted no claim"
     );
 }
