--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -136,7 +136,7 @@
                     digest: state.digest,
                 });
             }
-            event::Effect::Dissemination(dissemination::DisseminationEffect::Unsound {
+            event::Effect::Dissemination(dissemination::DisseminationEffect::InvalidUpdate {
                 from,
                 held,
             }) => self.timeline.note(TimelineEvent::VersionRefused {
@@ -149,7 +149,7 @@
                 reason,
             }) => self.timeline.note(TimelineEvent::ParentLost {
                 parent: *address,
-                reason: reason.word().into(),
+                reason: reason.as_str().into(),
             }),
             event::Effect::Membership(membership::MembershipEffect::Withdraw(target)) => {
                 let target = target.clone();
@@ -279,11 +279,11 @@
             }
             calls::RunResult::NotConnected => CallFailure::NotConnected,
             calls::RunResult::Declined => CallFailure::Declined,
-            calls::RunResult::Misplaced => CallFailure::Misplaced,
-            calls::RunResult::Unsound => CallFailure::Unsound,
+            calls::RunResult::WrongTarget => CallFailure::Misplaced,
+            calls::RunResult::Malformed => CallFailure::Unsound,
             calls::RunResult::Crashed => CallFailure::Crashed,
             calls::RunResult::TimedOut => CallFailure::TimedOut,
-            calls::RunResult::Cut => CallFailure::Cut,
+            calls::RunResult::Truncated => CallFailure::Cut,
             calls::RunResult::CallerGone => CallFailure::CallerGone,
         };
         self.count_run(open, failure_word(failure));
@@ -319,10 +319,14 @@
                     patience_ms: plan.offer.patience_ms,
                     version: plan
                         .candidate
-                        .trial
+                        .rollout_cohort
                         .as_ref()
                         .map(|(version, _)| version.clone()),
-                    cohort: plan.candidate.trial.as_ref().map(|(_, cohort)| *cohort),
+                    cohort: plan
+                        .candidate
+                        .rollout_cohort
+                        .as_ref()
+                        .map(|(_, cohort)| *cohort),
                 });
             }
             calls::CallEffect::Run(call, plan) => {
@@ -335,7 +339,7 @@
                     target: plan.target.clone(),
                 });
             }
-            calls::CallEffect::Pass(call) => {
+            calls::CallEffect::ForwardAnswer(call) => {
                 if let Some(open) = self.calls.get(call) {
                     self.count_call(open, "answered");
                     let latency = self.metrics.call_seconds.with_label_values(&open.labels());
@@ -354,8 +358,11 @@
             calls::CallEffect::Refuse(call, refusal) => {
                 // One that was offered to no target has no name yet.
                 if let Some(record) = state.calls.ingress.get(call) {
-                    let terms = &record.terms;
-                    self.name_call(*call, [&terms.service, &terms.class, &terms.route]);
+                    let attributes = &record.attributes;
+                    self.name_call(
+                        *call,
+                        [&attributes.service, &attributes.class, &attributes.route],
+                    );
                 }
                 self.refused(*call, refusal);
             }
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -35,7 +35,7 @@
             return output.refuse(arrival.call, refusal);
         }
     };
-    let is_claimed = record.terms.is_claimed();
+    let is_claimed = record.attributes.is_claimed();
     let claimed = arrival.fingerprint.filter(|_| is_claimed);
     state.calls.ingress.insert(arrival.call, record);
     match claimed {
@@ -70,7 +70,7 @@
     let times = terms::CallTimes::new(route, told, spent, state.now);
     let cohort = rollout::draw_cohort(state, &service);
     Ok(calls::IngressCall {
-        terms: terms::CallTerms::new(&catalogue, route, service, arrival),
+        attributes: terms::CallTerms::new(&catalogue, route, service, arrival),
         target: None,
         deadline: times.deadline,
         latency_until: times.latency_until,
@@ -106,7 +106,7 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return false;
     };
-    let (service, route) = (&record.terms.service, &record.terms.route);
+    let (service, route) = (&record.attributes.service, &record.attributes.route);
     let throttles = &mut state.calls.throttles;
     let share = throttles.refused_share(service, route, state.now);
     let is_overdue = record.latency_until <= state.now;
@@ -127,7 +127,7 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return;
     };
-    let (service, route) = (&record.terms.service, &record.terms.route);
+    let (service, route) = (&record.attributes.service, &record.attributes.route);
     let mut refusal = state.calls.throttles.refusal(service, route);
     refusal.retry_after_ms = spread(state, refusal.retry_after_ms);
     output.refuse(call, refusal);
@@ -145,8 +145,8 @@
         .calls
         .ingress
         .get(&call)
-        .map(|record| &record.terms.service);
-    let tried_in = service.and_then(|service| health::unreached_for(state, service));
+        .map(|record| &record.attributes.service);
+    let tried_in = service.and_then(|service| health::connect_retry_delay(state, service));
     let room_in = tried_in.unwrap_or(TARGET_RETURN).as_millis() as u32;
     let retry_after_ms = spread(state, room_in.max(1));
     let refusal = wire::CallRefusal {
@@ -160,19 +160,19 @@
 fn attempt(
     state: &mut reducer::EngineState,
     call: ids::CallId,
-    prefers_away: bool,
+    prefers_other_centres: bool,
     output: &mut event::ReducerOutput,
 ) -> bool {
     let Some(record) = state.calls.ingress.get(&call) else {
         return false;
     };
-    let (service, tried) = (record.terms.service.clone(), record.tried.clone());
-    let route = record.terms.route.clone();
-    let mut request = routing::ChoiceRequest {
+    let (service, tried) = (record.attributes.service.clone(), record.tried.clone());
+    let route = record.attributes.route.clone();
+    let mut request = routing::SelectionRequest {
         service: &service,
         spill: record.spill,
         tried: &tried,
-        prefers_away,
+        prefers_other_centres,
         route: &route,
         cohort: record.cohort,
     };
@@ -204,11 +204,11 @@
     let times = terms::TryTimes {
         attempt: record.arrived_attempt + tries,
         deadline_left: record.deadline.since(now),
-        latency_left: reachable(record.latency_until.since(now), candidate.shortest_run),
+        latency_left: reachable(record.latency_until.since(now), candidate.shortest_run_time),
         patience: candidate.patience.filter(|_| has_places_left),
     };
-    let offer = record.terms.offer(candidate.target.clone(), times);
-    let is_claimed = record.terms.is_claimed();
+    let offer = record.attributes.offer(candidate.target.clone(), times);
+    let is_claimed = record.attributes.is_claimed();
     let plan = calls::AttemptPlan {
         candidate,
         offer,
@@ -221,8 +221,8 @@
 
 /// What is left of the target latency, or nothing where not even the fastest of the targets compared
 /// answers within it.
-fn reachable(left: Duration, shortest_run: Option<Duration>) -> Duration {
-    if shortest_run.is_some_and(|run| run > left) {
+fn reachable(left: Duration, shortest_run_time: Option<Duration>) -> Duration {
+    if shortest_run_time.is_some_and(|run| run > left) {
         Duration::ZERO
     } else {
         left
@@ -240,19 +240,19 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return;
     };
-    let (terms, target) = (record.terms.clone(), record.target.clone());
+    let (terms, target) = (record.attributes.clone(), record.target.clone());
     let is_own = target
         .as_ref()
         .is_some_and(|target| state.membership.targets.contains_key(target));
     if !is_own && is_given_back(&result) {
         let took = state.now.since(record.tried_at);
-        state.routing.offer_cost.note(took);
+        state.routing.offer_cost.record(took);
     }
     if let Some(target) = target {
         learn(state, &terms, &target, &result, report.load);
     }
     if report.bytes > 0 {
-        state.routing.sizes.note(&terms.route, report.bytes);
+        state.routing.sizes.record(&terms.route, report.bytes);
     }
     let Some(proof) = retry::FailureProof::of(&result) else {
         earn(state, &terms, &result);
@@ -290,7 +290,7 @@
     state: &mut reducer::EngineState,
     call: ids::CallId,
     proof: retry::FailureProof,
-    prefers_away: bool,
+    prefers_other_centres: bool,
     output: &mut event::ReducerOutput,
 ) -> bool {
     let now = state.now;
@@ -302,15 +302,17 @@
     let view = target.and_then(|target| state.routing.views.get(target));
     let question = retry::RetryQuestion {
         proof,
-        is_idempotent: record.terms.is_idempotent,
+        is_idempotent: record.attributes.is_idempotent,
         tries: (record.tried.len() as u32).saturating_sub(record.placements),
         most_tries: record.most_tries,
         is_placement: u64::from(record.placements) < proof.placements(tunables),
         arrived_attempt: record.arrived_attempt,
         left: record.deadline.since(now),
-        service_time: view.map_or(Duration::ZERO, |view| view.run_time(&record.terms.route)),
+        service_time: view.map_or(Duration::ZERO, |view| {
+            view.run_time(&record.attributes.route)
+        }),
     };
-    let terms = record.terms.clone();
+    let terms = record.attributes.clone();
     if !question.is_allowed() {
         return false;
     }
@@ -324,7 +326,7 @@
     }
     record.placements += u32::from(question.is_placement);
     record.may_have_run |= proof == retry::FailureProof::MayHaveRun;
-    let is_tried = attempt(state, call, prefers_away, output);
+    let is_tried = attempt(state, call, prefers_other_centres, output);
     if !is_tried && is_paid {
         let tunables = &state.settings.tunables.retry;
         state.retry.budget(&terms, tunables).give_back();
@@ -349,7 +351,7 @@
     };
     if let Some(load) = load {
         let routing = &mut state.routing;
-        routing.take_report(&terms.service, &terms.route, target, load, now);
+        routing.record_load_report(&terms.service, &terms.route, target, load, now);
     }
     let Some(view) = state.routing.views.get_mut(target) else {
         return;
@@ -357,11 +359,11 @@
     let is_failing = load.is_some_and(|load| load.is_failing);
     match result {
         _ if is_failing => view.health.eject(now, first),
-        calls::AttemptResult::NotReached => view.health.note_unreached(now, first),
-        calls::AttemptResult::Lost => view.health.note_failure(now, first, tunables),
+        calls::AttemptResult::NotReached => view.health.record_connect_failure(now, first),
+        calls::AttemptResult::Lost => view.health.record_failure(now, first, tunables),
         calls::AttemptResult::Refused(refusal) => {
             if refusal.outcome == wire::CallOutcome::Unknown {
-                view.health.note_failure(now, first, tunables);
+                view.health.record_failure(now, first, tunables);
             } else if retry::is_leaving(refusal) {
                 view.health.eject(now, first);
             }
@@ -410,7 +412,7 @@
 }
 
 fn pass(call: ids::CallId, output: &mut event::ReducerOutput) {
-    let effect = calls::CallEffect::Pass(call);
+    let effect = calls::CallEffect::ForwardAnswer(call);
     output.effects.push(event::Effect::Calls(effect));
 }
 
--- a/crates/engine/tests/health.rs
+++ b/crates/engine/tests/health.rs
@@ -47,9 +47,9 @@
         self.node.call(calls::CallEvent::RunEnded { call, result });
     }
 
-    fn probe(&mut self, is_good: bool) {
+    fn probe(&mut self, is_healthy: bool) {
         let target = name(TARGET);
-        let probed = health::HealthEvent::Probed { target, is_good };
+        let probed = health::HealthEvent::Probed { target, is_healthy };
         self.node.reduce(event::Event::Health(probed));
     }
 
@@ -65,7 +65,7 @@
     let done = |status| calls::RunResult::Done { status };
     let table = [
         ("every answer fails", short, done(500), true),
-        ("answers in part", short, calls::RunResult::Cut, true),
+        ("answers in part", short, calls::RunResult::Truncated, true),
         ("never answers", short, calls::RunResult::TimedOut, true),
         (
             "never answers, callers leave",
