--- a/crates/engine/src/replication/state_machine.rs
+++ b/crates/engine/src/replication/state_machine.rs
@@ -33,8 +33,8 @@
         state_machine
     }
 
-    /// Applies a change that its leader has validated. Keeps at most `max_accepted`
-    /// accepted changes.
+    /// Applies a change that its leader has validated. Keeps at most `max_accepted` accepted
+    /// changes.
     pub(super) fn apply(
         &mut self,
         term: ids::LeaderTerm,
--- a/crates/engine/src/replication/store_failure.rs
+++ b/crates/engine/src/replication/store_failure.rs
@@ -2,7 +2,7 @@
 //!
 //! After a failed sync the state of the disk is unknown. All that must be durable is still in
 //! memory, so it is written again as one full batch. Until that batch is synced the replica sends
-//! no message and rejects every request. It can then continue in its group without a restart and
+//! no message and takes no proposal. It can then continue in its group without a restart and
 //! without data loss.
 
 use hazeltiller_units::code;
--- a/crates/engine/tests/replication.rs
+++ b/crates/engine/tests/replication.rs
@@ -175,7 +175,7 @@
     assert_eq!(
         network.leader(),
         None,
-        "with a wiped replica's vote a replica that lacks a committed change would have become leader"
+        "a wiped replica's vote would elect a leader that lacks a committed change"
     );
 }
 
@@ -530,9 +530,9 @@
     );
     network.settle(25);
     let is_proven = |floor: &&FloorAnswer| floor.proof == FloorProof::Majority;
-    let told = network.floor_answers.iter().find(is_proven);
+    let proven = network.floor_answers.iter().find(is_proven);
     assert_eq!(
-        told.expect("a control has heard from a majority").version,
+        proven.expect("a control has heard from a majority").version,
         receipt.version
     );
 }
