--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -1,9 +1,11 @@
-//! The file of claims on keyed requests.
+//! File of claims on keyed requests.
 //!
-//! Records are appended and synced in groups; each has its length and its checksum. A record cut
-//! short at the end was never reported as kept. The file is rewritten when most of it is about
-//! claims that are gone. A file that was just made is told apart from an empty one, since its
-//! folder may have held claims that are lost, and so is one whose whole folder was just made.
+//! Records are appended and synced in groups; each has a length and a checksum. A record that is
+//! incomplete at the end of the file was never reported as durable. The file is rewritten when most
+//! of its records concern claims that no longer exist.
+//!
+//! A missing file is distinguished from one without claims, since its folder may have held claims
+//! that are lost. If the whole folder is new as well, that is recorded as a third case.
 
 use std::{
     fs,
@@ -18,31 +20,31 @@
 use crate::error;
 
 const CLAIMS_FILE: &str = "claims";
-const NEW_FILE: &str = "claims.new";
+const TEMPORARY_FILE: &str = "claims.new";
 const DAMAGED_FILE: &str = "claims.damaged";
-/// First bytes of the file: what it is and the version of its format.
-const FILE_MARK: &[u8; 8] = b"hzclaim1";
-const HEADER_BYTES: usize = 8;
+/// First bytes of the file: its type and format version.
+const FILE_MAGIC: &[u8; 8] = b"hzclaim1";
+const RECORD_HEADER_BYTES: usize = 8;
 
-/// What a file held when it was opened.
+/// Contents of the file when it was opened.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RecoveredClaims {
-    /// Claims by request, in the order in which they were kept.
+    /// Claims by request, in the order in which they were stored.
     pub claims: IndexMap<ledger::RequestDigest, ledger::StoredClaim>,
-    /// Whether claims that were reported as kept can be missing.
+    /// Whether claims that were reported as durable can be missing.
     pub standing: ledger::ClaimsStanding,
 }
 
-/// Where claims are kept; a trait so that tests can put a failing disk behind it.
+/// Storage of claims. A trait, so that tests can substitute a failing disk.
 pub trait ClaimStore: Send {
-    /// Appends records and syncs them: when this returns they are kept.
+    /// Appends records and syncs them; they are durable once this returns.
     fn append(&mut self, records: &[ledger::ClaimRecord]) -> Result<(), error::StoreError>;
 
     /// Replaces the whole file by these records.
     fn rewrite(&mut self, records: &[ledger::ClaimRecord]) -> Result<(), error::StoreError>;
 }
 
-/// Claims in a folder.
+/// Claim storage in a data folder.
 #[derive(Debug)]
 pub struct ClaimFile {
     folder: PathBuf,
@@ -50,22 +52,23 @@
 }
 
 impl ClaimFile {
-    /// Opens or makes the file in a folder and reads what it holds; `is_folder_new` where the folder held
-    /// nothing else either. A damaged file is put aside, and its claims count as lost.
+    /// Opens or creates the file in a folder and reads its claims. `is_folder_new` states that the
+    /// folder was just created and held no other state. A damaged file is moved aside, and its
+    /// claims count as lost.
     pub fn open(
         folder: &Path,
         is_folder_new: bool,
     ) -> Result<(Self, RecoveredClaims), error::StoreError> {
         let path = folder.join(CLAIMS_FILE);
-        let disk = |action| error::DiskSnafu {
+        let disk_context = |action| error::DiskSnafu {
             action,
             path: path.clone(),
         };
-        fs::create_dir_all(folder).context(disk("making the folder of"))?;
+        fs::create_dir_all(folder).context(disk_context("creating the folder of"))?;
         let bytes = match fs::read(&path) {
             Ok(bytes) => bytes,
             Err(source) if source.kind() == ErrorKind::NotFound => Vec::new(),
-            Err(source) => return Err(source).context(disk("reading")),
+            Err(source) => return Err(source).context(disk_context("reading")),
         };
         if bytes.is_empty() {
             let standing = if is_folder_new {
@@ -73,73 +76,79 @@
             } else {
                 ledger::ClaimsStanding::Lost
             };
-            return Self::make(folder, standing);
+            return Self::create(folder, standing);
         }
         match read_claims(&path, &bytes) {
-            Ok((recovered, kept)) => {
-                if kept < bytes.len() {
-                    log::warn!("cut {} bytes of a claim never kept", bytes.len() - kept);
+            Ok((recovered, valid_bytes)) => {
+                if valid_bytes < bytes.len() {
+                    log::warn!(
+                        "truncated {} bytes of an incomplete claim record that was never synced",
+                        bytes.len() - valid_bytes
+                    );
                 }
                 let file = fs::OpenOptions::new().append(true).open(&path);
-                let file = file.context(disk("opening"))?;
-                file.set_len(kept as u64).context(disk("cutting"))?;
-                file.sync_all().context(disk("syncing"))?;
+                let file = file.context(disk_context("opening"))?;
+                file.set_len(valid_bytes as u64)
+                    .context(disk_context("truncating"))?;
+                file.sync_all().context(disk_context("syncing"))?;
                 sync_folder(folder)?;
                 let folder = folder.into();
                 Ok((Self { folder, file }, recovered))
             }
             Err(error) => {
-                log::error!("{}: {error}; it is put aside", error.code());
-                let aside = folder.join(DAMAGED_FILE);
-                fs::rename(&path, aside).context(disk("putting aside"))?;
-                Self::make(folder, ledger::ClaimsStanding::Lost)
+                log::error!("{}: {error}; the file is moved aside", error.code());
+                let damaged_path = folder.join(DAMAGED_FILE);
+                fs::rename(&path, damaged_path).context(disk_context("moving aside"))?;
+                Self::create(folder, ledger::ClaimsStanding::Lost)
             }
         }
     }
 
-    fn make(
+    fn create(
         folder: &Path,
         standing: ledger::ClaimsStanding,
     ) -> Result<(Self, RecoveredClaims), error::StoreError> {
         let path = folder.join(CLAIMS_FILE);
         let file = fs::File::create(&path).context(error::DiskSnafu {
-            action: "making",
+            action: "creating",
             path,
         })?;
-        let mut made = Self {
+        let mut store = Self {
             folder: folder.into(),
             file,
         };
-        made.rewrite(&[ledger::ClaimRecord::Standing(standing)])?;
+        store.rewrite(&[ledger::ClaimRecord::Standing(standing)])?;
         let claims = IndexMap::new();
-        Ok((made, RecoveredClaims { claims, standing }))
+        Ok((store, RecoveredClaims { claims, standing }))
     }
 }
 
 impl ClaimStore for ClaimFile {
     fn append(&mut self, records: &[ledger::ClaimRecord]) -> Result<(), error::StoreError> {
         let path = self.folder.join(CLAIMS_FILE);
-        let disk = |action| error::DiskSnafu {
+        let disk_context = |action| error::DiskSnafu {
             action,
             path: path.clone(),
         };
         self.file
             .write_all(&encode(records))
-            .context(disk("writing"))?;
-        self.file.sync_data().context(disk("syncing"))
+            .context(disk_context("writing"))?;
+        self.file.sync_data().context(disk_context("syncing"))
     }
 
     fn rewrite(&mut self, records: &[ledger::ClaimRecord]) -> Result<(), error::StoreError> {
-        let path = self.folder.join(NEW_FILE);
-        let disk = |action| error::DiskSnafu {
+        let path = self.folder.join(TEMPORARY_FILE);
+        let disk_context = |action| error::DiskSnafu {
             action,
             path: path.clone(),
         };
-        let mut file = fs::File::create(&path).context(disk("making"))?;
-        file.write_all(FILE_MARK).context(disk("writing"))?;
-        file.write_all(&encode(records)).context(disk("writing"))?;
-        file.sync_all().context(disk("syncing"))?;
-        fs::rename(&path, self.folder.join(CLAIMS_FILE)).context(disk("renaming"))?;
+        let mut file = fs::File::create(&path).context(disk_context("creating"))?;
+        file.write_all(FILE_MAGIC)
+            .context(disk_context("writing"))?;
+        file.write_all(&encode(records))
+            .context(disk_context("writing"))?;
+        file.sync_all().context(disk_context("syncing"))?;
+        fs::rename(&path, self.folder.join(CLAIMS_FILE)).context(disk_context("renaming"))?;
         sync_folder(&self.folder)?;
         self.file = file;
         Ok(())
@@ -157,7 +166,7 @@
 fn encode(records: &[ledger::ClaimRecord]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for record in records {
-        let record = postcard::to_stdvec(record).expect("records hold no maps");
+        let record = postcard::to_stdvec(record).expect("claim records hold no maps");
         bytes.extend_from_slice(&(record.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&crc32fast::hash(&record).to_le_bytes());
         bytes.extend_from_slice(&record);
@@ -171,32 +180,33 @@
         offset: offset as u64,
         message: message.into(),
     };
-    if !bytes.starts_with(FILE_MARK) {
-        return Err(damaged(0, "it is no file of claims"));
+    if !bytes.starts_with(FILE_MAGIC) {
+        return Err(damaged(0, "the file header does not match"));
     }
     let mut recovered = RecoveredClaims::default();
-    let mut offset = FILE_MARK.len();
-    while let Some(header) = bytes.get(offset..offset + HEADER_BYTES) {
-        let number = |at: usize| {
+    let mut offset = FILE_MAGIC.len();
+    while let Some(header) = bytes.get(offset..offset + RECORD_HEADER_BYTES) {
+        let read_u32 = |at: usize| {
             let bytes = header[at..at + 4].try_into();
-            u32::from_le_bytes(bytes.expect("four bytes were taken"))
+            u32::from_le_bytes(bytes.expect("the slice has four bytes"))
         };
-        let (start, length) = (offset + HEADER_BYTES, number(0) as usize);
+        let (start, length) = (offset + RECORD_HEADER_BYTES, read_u32(0) as usize);
         let Some(record) = bytes.get(start..start + length) else {
-            // A length that was damaged reaches beyond the end too, but then whole records follow.
-            if has_record_behind(bytes, offset) {
-                return Err(damaged(offset, "the length does not match"));
+            // A damaged length can reach beyond the end of the file too, but then intact records
+            // follow it.
+            if has_record_after(bytes, offset) {
+                return Err(damaged(offset, "a record length is invalid"));
             }
             break;
         };
         let is_last = bytes[start + length..].iter().all(|byte| *byte == 0);
-        if length == 0 || crc32fast::hash(record) != number(4) {
-            // Only the last record can be torn: a file system may have grown the file and lost
-            // what was written there, so that nothing or zeros are behind it.
+        if length == 0 || crc32fast::hash(record) != read_u32(4) {
+            // Only the last record can be incomplete. The file system may have extended the file
+            // and lost the data, so it is followed by nothing or by zeros.
             if is_last {
                 break;
             }
-            return Err(damaged(offset, "the checksum does not match"));
+            return Err(damaged(offset, "a record checksum does not match"));
         }
         let record = postcard::from_bytes(record);
         let record = record.map_err(|error| damaged(offset, &error.to_string()))?;
@@ -206,21 +216,21 @@
     Ok((recovered, offset))
 }
 
-/// Whether a whole record begins anywhere behind an offset.
-fn has_record_behind(bytes: &[u8], offset: usize) -> bool {
-    (offset + 1..bytes.len()).any(|at| whole_record(bytes, at).is_some())
+/// Returns whether an intact record starts at any offset after this one.
+fn has_record_after(bytes: &[u8], offset: usize) -> bool {
+    (offset + 1..bytes.len()).any(|at| decode_record(bytes, at).is_some())
 }
 
-/// The record that begins at an offset, if one does.
-fn whole_record(bytes: &[u8], offset: usize) -> Option<ledger::ClaimRecord> {
-    let header = bytes.get(offset..offset + HEADER_BYTES)?;
-    let (length, sum) = header.split_at(HEADER_BYTES / 2);
+/// Returns the record at an offset if it is intact.
+fn decode_record(bytes: &[u8], offset: usize) -> Option<ledger::ClaimRecord> {
+    let header = bytes.get(offset..offset + RECORD_HEADER_BYTES)?;
+    let (length, checksum) = header.split_at(RECORD_HEADER_BYTES / 2);
     let length = u32::from_le_bytes(length.try_into().ok()?) as usize;
-    let sum = u32::from_le_bytes(sum.try_into().ok()?);
-    let start = offset + HEADER_BYTES;
+    let checksum = u32::from_le_bytes(checksum.try_into().ok()?);
+    let start = offset + RECORD_HEADER_BYTES;
     let record = bytes.get(start..start.checked_add(length)?)?;
-    let is_sound = length > 0 && crc32fast::hash(record) == sum;
-    is_sound
+    let is_intact = length > 0 && crc32fast::hash(record) == checksum;
+    is_intact
         .then(|| postcard::from_bytes(record).ok())
         .flatten()
 }
@@ -234,12 +244,18 @@
             claims.insert(request, ledger::StoredClaim { claim, is_done });
         }
         ledger::ClaimRecord::Done(request, claim) => {
-            if let Some(kept) = claims.get_mut(&request).filter(|kept| kept.claim == claim) {
-                kept.is_done = true;
+            if let Some(stored) = claims
+                .get_mut(&request)
+                .filter(|stored| stored.claim == claim)
+            {
+                stored.is_done = true;
             }
         }
         ledger::ClaimRecord::Released(request, claim) => {
-            if claims.get(&request).is_some_and(|kept| kept.claim == claim) {
+            if claims
+                .get(&request)
+                .is_some_and(|stored| stored.claim == claim)
+            {
                 claims.shift_remove(&request);
             }
         }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,66 +1,74 @@
-//! What can go wrong with a data folder, each with its code.
+//! Errors of the store, and the result code of each.
 
 use std::{io, path::PathBuf};
 
 use hazeltiller_units::code;
 use snafu::Snafu;
 
-/// Why the store stopped.
+/// An error of the store.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StoreError {
-    /// The disk refused.
+    /// A file operation failed.
     #[snafu(display("{action} {} failed: {source}", path.display()))]
     Disk {
-        /// What was tried.
+        /// The operation.
         action: &'static str,
-        /// On what.
+        /// The file or folder.
         path: PathBuf,
-        /// Why it failed.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A record that may have been acknowledged is damaged.
     #[snafu(display(
-        "{} is damaged at byte {offset}: {message}; move the folder away and start the instance \
-         with an empty one, then have it removed and added again (docs/operators/control.md)",
+        "{} is damaged at byte {offset}: {message}; move the folder away, start the instance \
+         with an empty one, then remove it from the control group and add it again \
+         (docs/operators/control.md)",
         path.display()
     ))]
     Damaged {
-        /// Which file.
+        /// The damaged file.
         path: PathBuf,
-        /// Where.
+        /// Offset of the damaged record, in bytes.
         offset: u64,
-        /// What was found.
+        /// What does not match.
         message: String,
     },
-    /// Another process holds the folder.
-    #[snafu(display("{} is held by another process", path.display()))]
+    /// Another process holds the lock of the data folder.
+    #[snafu(display("{} is locked by another process", path.display()))]
     Locked {
-        /// The lock.
+        /// The lock file.
         path: PathBuf,
     },
-    /// The file is of another format.
-    #[snafu(display("{} is no file of format version {}", path.display(), crate::record::FORMAT_VERSION))]
-    OtherFormat {
-        /// Which file.
+    /// The file has a format version that this build does not support.
+    #[snafu(display(
+        "{} is not in format version {}",
+        path.display(),
+        crate::record::FORMAT_VERSION
+    ))]
+    UnsupportedFormat {
+        /// The file.
         path: PathBuf,
     },
-    /// The store failed before and keeps nothing more.
-    #[snafu(display("{} has failed before", path.display()))]
+    /// An earlier write failed, and only a full rewrite is accepted.
+    #[snafu(display(
+        "an earlier write to {} failed; nothing is stored until a full rewrite",
+        path.display()
+    ))]
     Stopped {
-        /// The folder.
+        /// The data folder.
         path: PathBuf,
     },
 }
 
 impl StoreError {
-    /// Its code.
+    /// Returns the result code of the error.
     pub fn code(&self) -> code::ResultCode {
         match self {
             Self::Disk { .. } | Self::Stopped { .. } => code::ResultCode::StoreFailed,
             Self::Damaged { .. } => code::ResultCode::StoreDamaged,
             Self::Locked { .. } => code::ResultCode::StoreLocked,
-            Self::OtherFormat { .. } => code::ResultCode::StoreFormat,
+            Self::UnsupportedFormat { .. } => code::ResultCode::StoreFormat,
         }
     }
 }
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -1,8 +1,9 @@
-//! A data folder: one log, one snapshot, one lock.
+//! Data folder with one log file, one snapshot file and one lock file.
 //!
-//! The log is only ever appended to; a snapshot and the shorter log behind it are written aside,
-//! synced, renamed and their folder synced, the snapshot first. A crash between the two leaves a
-//! log that begins before its snapshot, which is shortened when it is opened.
+//! The log is only appended to. A snapshot and the shortened log after it are each written to a
+//! temporary file, synced and renamed, and the folder is synced; the snapshot comes first. A crash
+//! between the two leaves a log that starts before the snapshot; it is shortened when the folder is
+//! opened.
 
 use std::{
     fs,
@@ -19,40 +20,40 @@
 const LOCK_FILE: &str = "lock";
 const LOG_FILE: &str = "log";
 const SNAPSHOT_FILE: &str = "snapshot";
-const ASIDE_SUFFIX: &str = "new";
+const TEMPORARY_EXTENSION: &str = "new";
 
 type StoreResult<T> = Result<T, error::StoreError>;
 
-/// A folder that is open.
+/// An open data folder.
 #[derive(Debug)]
 pub struct FileStore {
     folder: PathBuf,
     log: fs::File,
     has_failed: bool,
-    /// Holds the folder as long as it is open.
+    /// Holds the lock on the folder while it is open.
     _lock: fs::File,
 }
 
-/// What a log held.
+/// Contents of a log file.
 #[derive(Debug, Default)]
 struct LogContent {
-    hard: Option<wire::HardState>,
+    hard_state: Option<wire::HardState>,
     entries: Vec<wire::LogEntry>,
-    /// Where the last whole record ends.
-    end: usize,
-    /// Bytes after it that were never synced.
-    torn: usize,
+    /// Offset of the end of the last complete record.
+    valid_bytes: usize,
+    /// Number of bytes after it, which belong to a record that was never synced.
+    torn_bytes: usize,
 }
 
 impl FileStore {
-    /// Opens a folder; one without state becomes that of a new replica, as `first` makes it.
-    /// Returns what the folder holds and whether it was there before.
+    /// Opens a folder and locks it. A folder without a log is initialized with the state that
+    /// `initial_state` returns. Returns the stored state, and whether it existed before.
     pub fn open(
         folder: &Path,
-        first: impl FnOnce() -> wire::HardState,
+        initial_state: impl FnOnce() -> wire::HardState,
     ) -> StoreResult<(Self, replication::RecoveredLog, bool)> {
         fs::create_dir_all(folder).context(error::DiskSnafu {
-            action: "making",
+            action: "creating",
             path: folder,
         })?;
         let lock = lock_folder(folder)?;
@@ -61,40 +62,40 @@
         let is_new = !path.exists();
         if is_new {
             if snapshot.is_some() {
-                return Err(record::damaged(&path, 0, "the log is gone".into()));
+                return Err(record::damaged(&path, 0, "the log file is missing".into()));
             }
-            write_log(folder, first(), &[])?;
+            write_log(folder, initial_state(), &[])?;
         }
         let bytes = read_file(&path)?;
         let content = read_log(&path, &bytes)?;
-        if content.torn > 0 {
+        if content.torn_bytes > 0 {
             log::warn!(
-                "{}: cut {} bytes of a record that was never kept",
+                "{}: truncated {} bytes of an incomplete record that was never synced",
                 path.display(),
-                content.torn
+                content.torn_bytes
             );
         }
-        let all = content.entries.len();
+        let entry_count = content.entries.len();
         let mark = snapshot.as_ref().map(|snapshot| snapshot.mark);
-        let entries = after_snapshot(&path, content.entries, mark.unwrap_or_default())?;
-        let hard = content.hard.ok_or_else(|| {
+        let entries = entries_after(&path, content.entries, mark.unwrap_or_default())?;
+        let hard = content.hard_state.ok_or_else(|| {
             record::damaged(
                 &path,
                 record::FILE_HEADER_BYTES,
-                "the first record is gone".into(),
+                "the initial hard state is missing".into(),
             )
         })?;
-        if entries.len() < all {
+        if entries.len() < entry_count {
             write_log(folder, hard, &entries)?;
         }
         let mut log = open_log(&path)?;
-        if entries.len() == all {
-            log.set_len(content.end as u64)
-                .context(disk("cutting", &path))?;
-            log.sync_all().context(disk("syncing", &path))?;
+        if entries.len() == entry_count {
+            log.set_len(content.valid_bytes as u64)
+                .context(disk_context("truncating", &path))?;
+            log.sync_all().context(disk_context("syncing", &path))?;
         }
         log.seek(std::io::SeekFrom::End(0))
-            .context(disk("seeking in", &path))?;
+            .context(disk_context("seeking in", &path))?;
         let recovered = replication::RecoveredLog {
             hard,
             snapshot,
@@ -109,22 +110,22 @@
         Ok((store, recovered, !is_new))
     }
 
-    /// Writes batches, each in one piece with those beside it, and syncs them before anything else is
-    /// written: of two writes that are not synced a loss of power may keep the second alone, and
-    /// a record behind a hole is taken for damage.
+    /// Writes batches, joining adjacent ones into one write, and syncs each write before the next.
+    /// After a power loss the second of two unsynced writes may be on disk without the first, and a
+    /// record after such a gap would count as damage.
     fn write_all(&mut self, batches: Vec<replication::PersistBatch>) -> StoreResult<()> {
         let mut bytes = Vec::new();
         for batch in batches {
             if batch.is_whole {
                 bytes.clear();
-                self.replace(&batch)?;
+                self.rewrite(&batch)?;
                 continue;
             }
             push_batch(&mut bytes, &batch);
             if let Some(snapshot) = batch.snapshot {
-                // The shorter log behind the snapshot is made of this one, and synced.
+                // The shortened log that follows the snapshot is derived from this one and synced.
                 self.append(&std::mem::take(&mut bytes))?;
-                self.keep_snapshot(&snapshot)?;
+                self.install_snapshot(&snapshot)?;
             }
         }
         if bytes.is_empty() {
@@ -132,27 +133,29 @@
         }
         self.append(&bytes)?;
         let path = self.folder.join(LOG_FILE);
-        self.log.sync_data().context(disk("syncing", &path))
+        self.log.sync_data().context(disk_context("syncing", &path))
     }
 
     fn append(&mut self, bytes: &[u8]) -> StoreResult<()> {
         let path = self.folder.join(LOG_FILE);
-        self.log.write_all(bytes).context(disk("writing", &path))
+        self.log
+            .write_all(bytes)
+            .context(disk_context("writing", &path))
     }
 
-    fn keep_snapshot(&mut self, snapshot: &wire::LogSnapshot) -> StoreResult<()> {
+    fn install_snapshot(&mut self, snapshot: &wire::LogSnapshot) -> StoreResult<()> {
         write_snapshot(&self.folder, snapshot)?;
         let path = self.folder.join(LOG_FILE);
         let content = read_log(&path, &read_file(&path)?)?;
-        let entries = after_snapshot(&path, content.entries, snapshot.mark)?;
-        let hard = content.hard.unwrap_or_default();
+        let entries = entries_after(&path, content.entries, snapshot.mark)?;
+        let hard = content.hard_state.unwrap_or_default();
         self.replace_log(hard, &entries)
     }
 
-    /// Puts everything that a batch holds in place of what is there, in files of its own: nothing of
-    /// it rests on bytes that an earlier sync may have lost. The snapshot comes first, so that a
-    /// crash between the two leaves the old log behind a snapshot that covers its beginning.
-    fn replace(&mut self, batch: &replication::PersistBatch) -> StoreResult<()> {
+    /// Replaces the stored state by the contents of a batch, in new files, so that nothing depends
+    /// on data that an earlier failed sync may have lost. The snapshot is written first, so that a
+    /// crash between the two leaves the old log with a snapshot that covers its beginning.
+    fn rewrite(&mut self, batch: &replication::PersistBatch) -> StoreResult<()> {
         if let Some(snapshot) = &batch.snapshot {
             write_snapshot(&self.folder, snapshot)?;
         }
@@ -169,25 +172,28 @@
         self.log = open_log(&path)?;
         self.log
             .seek(std::io::SeekFrom::End(0))
-            .context(disk("seeking in", &path))?;
+            .context(disk_context("seeking in", &path))?;
         Ok(())
     }
 }
 
 impl LogStore for FileStore {
     fn write(&mut self, batches: Vec<replication::PersistBatch>) -> StoreResult<()> {
-        let is_whole = batches.first().is_some_and(|batch| batch.is_whole);
-        if self.has_failed && !is_whole {
+        let is_full_rewrite = batches.first().is_some_and(|batch| batch.is_whole);
+        if self.has_failed && !is_full_rewrite {
             let path = self.folder.clone();
             return Err(error::StoreError::Stopped { path });
         }
-        let written = self.write_all(batches);
-        self.has_failed = written.is_err();
-        written
+        let result = self.write_all(batches);
+        self.has_failed = result.is_err();
+        result
     }
 }
 
-fn disk<'a>(action: &'static str, path: &'a Path) -> error::DiskSnafu<&'static str, &'a Path> {
+fn disk_context<'a>(
+    action: &'static str,
+    path: &'a Path,
+) -> error::DiskSnafu<&'static str, &'a Path> {
     error::DiskSnafu { action, path }
 }
 
@@ -195,7 +201,9 @@
     let path = folder.join(LOCK_FILE);
     let mut options = fs::OpenOptions::new();
     let options = options.read(true).write(true).create(true).truncate(false);
-    let file = options.open(&path).context(disk("opening", &path))?;
+    let file = options
+        .open(&path)
+        .context(disk_context("opening", &path))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(fs::TryLockError::WouldBlock) => Err(error::StoreError::Locked { path }),
@@ -210,33 +218,38 @@
 fn open_log(path: &Path) -> StoreResult<fs::File> {
     let mut options = fs::OpenOptions::new();
     let options = options.read(true).write(true);
-    options.open(path).context(disk("opening", path))
+    options.open(path).context(disk_context("opening", path))
 }
 
 fn read_file(path: &Path) -> StoreResult<Vec<u8>> {
     let mut bytes = Vec::new();
-    let mut file = fs::File::open(path).context(disk("opening", path))?;
+    let mut file = fs::File::open(path).context(disk_context("opening", path))?;
     file.read_to_end(&mut bytes)
-        .context(disk("reading", path))?;
+        .context(disk_context("reading", path))?;
     Ok(bytes)
 }
 
-/// Puts a file in place whole or not at all.
-fn write_aside(folder: &Path, name: &str, bytes: &[u8]) -> StoreResult<()> {
+/// Replaces a file atomically.
+fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> StoreResult<()> {
     let path = folder.join(name);
-    let aside = path.with_extension(ASIDE_SUFFIX);
-    let mut file = fs::File::create(&aside).context(disk("making", &aside))?;
-    file.write_all(bytes).context(disk("writing", &aside))?;
-    file.sync_all().context(disk("syncing", &aside))?;
-    fs::rename(&aside, &path).context(disk("renaming to", &path))?;
-    let folder_file = fs::File::open(folder).context(disk("opening", folder))?;
-    folder_file.sync_all().context(disk("syncing", folder))
+    let temporary_path = path.with_extension(TEMPORARY_EXTENSION);
+    let mut file =
+        fs::File::create(&temporary_path).context(disk_context("creating", &temporary_path))?;
+    file.write_all(bytes)
+        .context(disk_context("writing", &temporary_path))?;
+    file.sync_all()
+        .context(disk_context("syncing", &temporary_path))?;
+    fs::rename(&temporary_path, &path).context(disk_context("renaming to", &path))?;
+    let folder_file = fs::File::open(folder).context(disk_context("opening", folder))?;
+    folder_file
+        .sync_all()
+        .context(disk_context("syncing", folder))
 }
 
 fn write_snapshot(folder: &Path, snapshot: &wire::LogSnapshot) -> StoreResult<()> {
     let mut bytes = record::file_header(record::SNAPSHOT_MAGIC);
     record::push_record(&mut bytes, snapshot);
-    write_aside(folder, SNAPSHOT_FILE, &bytes)
+    replace_file(folder, SNAPSHOT_FILE, &bytes)
 }
 
 fn write_log(folder: &Path, hard: wire::HardState, entries: &[wire::LogEntry]) -> StoreResult<()> {
@@ -245,7 +258,7 @@
     for entry in entries {
         record::push_record(&mut bytes, &record::LogRecord::Entry(entry.clone()));
     }
-    write_aside(folder, LOG_FILE, &bytes)
+    replace_file(folder, LOG_FILE, &bytes)
 }
 
 fn push_batch(bytes: &mut Vec<u8>, batch: &replication::PersistBatch) {
@@ -270,7 +283,7 @@
     let snapshot: wire::LogSnapshot = match record::read_record(path, &bytes, first)? {
         record::RecordRead::Complete { value, .. } => value,
         record::RecordRead::End | record::RecordRead::Torn => {
-            let message = "the snapshot is cut".into();
+            let message = "the snapshot is truncated".into();
             return Err(record::damaged(path, first, message));
         }
     };
@@ -288,35 +301,35 @@
     loop {
         match record::read_record(path, bytes, offset)? {
             record::RecordRead::Complete { value, next } => {
-                take_record(path, &mut content, offset, value)?;
+                apply_record(path, &mut content, offset, value)?;
                 offset = next;
             }
             record::RecordRead::End => break,
             record::RecordRead::Torn => {
-                content.torn = bytes.len() - offset;
+                content.torn_bytes = bytes.len() - offset;
                 break;
             }
         }
     }
-    content.end = offset;
+    content.valid_bytes = offset;
     Ok(content)
 }
 
-fn take_record(
+fn apply_record(
     path: &Path,
     content: &mut LogContent,
     offset: usize,
     value: record::LogRecord,
 ) -> StoreResult<()> {
     match value {
-        record::LogRecord::Hard(hard) => content.hard = Some(hard),
+        record::LogRecord::Hard(hard) => content.hard_state = Some(hard),
         record::LogRecord::Truncate(from) => {
             content.entries.retain(|entry| entry.position < from);
         }
         record::LogRecord::Entry(entry) => {
             let last = content.entries.last().map(|entry| entry.position);
             if last.is_some_and(|last| entry.position != last.next()) {
-                let message = format!("position {} is out of order", entry.position);
+                let message = format!("log position {} is out of order", entry.position);
                 return Err(record::damaged(path, offset, message));
             }
             content.entries.push(entry);
@@ -325,8 +338,8 @@
     Ok(())
 }
 
-/// The entries that follow a snapshot; none when the snapshot is of another history.
-fn after_snapshot(
+/// Returns the entries that follow a snapshot; none if the snapshot belongs to a different history.
+fn entries_after(
     path: &Path,
     mut entries: Vec<wire::LogEntry>,
     mark: wire::LogMark,
@@ -338,12 +351,15 @@
         return Ok(entries);
     }
     if first > mark.position {
-        let message = format!("positions {} to {first} are gone", mark.position.next());
+        let message = format!(
+            "log positions {} to {first} are missing",
+            mark.position.next()
+        );
         return Err(record::damaged(path, record::FILE_HEADER_BYTES, message));
     }
     let is_covered = |entry: &wire::LogEntry| entry.mark() == mark;
     match entries.iter().position(is_covered) {
-        Some(place) => Ok(entries.split_off(place + 1)),
+        Some(index) => Ok(entries.split_off(index + 1)),
         None => Ok(Vec::new()),
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
-//! The control group's log on disk.
+//! On-disk storage of the control group's log and of claims on keyed requests.
 //!
-//! What this crate reports as kept has been synced. It knows nothing of leaders or catalogues: it
-//! keeps records in order and gives them back.
+//! Data is synced before this crate reports it as stored. The crate knows nothing of leaders or
+//! catalogues: it appends records in order and reads them back.
 
 pub mod claims;
 pub mod error;
@@ -10,10 +10,10 @@
 
 use hazeltiller_engine::replication;
 
-/// Where batches are kept; a trait so that tests can put a failing disk behind it.
+/// Storage of log batches. A trait, so that tests can substitute a failing disk.
 pub trait LogStore: Send {
-    /// Writes batches in order and syncs them: when this returns they are kept. After an error the
-    /// store keeps nothing more, since what a failed sync has left on the disk cannot be known, until
-    /// it is given a batch that is whole.
+    /// Writes batches in order and syncs them; they are durable once this returns. After an error
+    /// the state of the disk is unknown, since a failed sync may have lost any of the data, so
+    /// every batch is rejected until one that rewrites everything.
     fn write(&mut self, batches: Vec<replication::PersistBatch>) -> Result<(), error::StoreError>;
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,12 +1,12 @@
-//! Records as bytes, and what bytes that are no whole record mean.
+//! Encoding of log and snapshot records, and classification of incomplete records.
 //!
-//! A record is its length, the checksum of its body, the checksum of these two, and its body. The
-//! length has a checksum of its own so that a flipped bit in it does not pass for the end of a file
-//! that was cut while it was being written.
+//! A record consists of the length of its body, the checksum of the body, the checksum of these two
+//! fields, and the body. The length is covered by its own checksum so that a flipped bit in it is
+//! not mistaken for the end of a file truncated during a write.
 //!
-//! A tail is cut only when its last sectors never reached the disk: the file ends inside the
-//! record, or from some sector inside the record on it holds only zeros. Such a record was never
-//! synced, so it was never acknowledged. Every other mismatch stops the process.
+//! A tail is discarded only if its last sectors never reached the disk: the file ends inside the
+//! record, or from some sector inside the record on it contains only zeros. Such a record was never
+//! synced and therefore never acknowledged. Any other mismatch is an error that stops the process.
 
 use std::path::Path;
 
@@ -16,47 +16,48 @@
 
 use crate::error;
 
-/// Version of the files' format.
+/// Format version of the files.
 pub const FORMAT_VERSION: u32 = 2;
-/// Bytes before the first record of a file.
+/// Size of the file header, in bytes.
 pub const FILE_HEADER_BYTES: usize = 16;
-/// Bytes before a record's body.
+/// Size of a record header, in bytes.
 pub const RECORD_HEADER_BYTES: usize = 12;
-/// First bytes of a log.
+/// First bytes of a log file.
 pub const LOG_MAGIC: [u8; 8] = *b"hztl-log";
-/// First bytes of a snapshot.
+/// First bytes of a snapshot file.
 pub const SNAPSHOT_MAGIC: [u8; 8] = *b"hztl-snp";
-/// What a disk writes whole or not at all.
+/// Unit that a disk writes entirely or not at all.
 const SECTOR_BYTES: usize = 512;
 
 /// A record of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// State beside the log; the last one counts.
+    /// Replica state that is not part of an entry, such as term and vote; the last such record
+    /// applies.
     Hard(wire::HardState),
-    /// Entries from this position on are dropped.
+    /// Entries from this position on are discarded.
     Truncate(ids::LogPosition),
-    /// An entry.
+    /// A log entry.
     Entry(wire::LogEntry),
 }
 
-/// What stands at an offset.
+/// Result of reading a record.
 #[derive(Debug, PartialEq)]
 pub enum RecordRead<T> {
-    /// A whole record.
+    /// A complete record.
     Complete {
-        /// What it says.
+        /// The decoded record.
         value: T,
-        /// Where the next one begins.
+        /// Offset of the next record.
         next: usize,
     },
-    /// The file ends here.
+    /// The file ends at this offset.
     End,
-    /// A record that was never synced.
+    /// An incomplete record that was never synced.
     Torn,
 }
 
-/// The first bytes of a file.
+/// Returns the header of a file.
 pub fn file_header(magic: [u8; 8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(FILE_HEADER_BYTES);
     bytes.extend_from_slice(&magic);
@@ -65,9 +66,9 @@
     bytes
 }
 
-/// Puts a record at the end of `bytes`.
+/// Appends a record to `bytes`.
 pub fn push_record<T: Serialize>(bytes: &mut Vec<u8>, value: &T) {
-    let body = postcard::to_stdvec(value).expect("records' maps know their length");
+    let body = postcard::to_stdvec(value).expect("every map in a record knows its length");
     let mut header = Vec::with_capacity(RECORD_HEADER_BYTES);
     header.extend_from_slice(&(body.len() as u32).to_le_bytes());
     header.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -76,19 +77,19 @@
     bytes.extend_from_slice(&body);
 }
 
-/// Checks the first bytes of a file.
+/// Checks the header of a file.
 pub fn check_header(path: &Path, bytes: &[u8], magic: [u8; 8]) -> Result<(), error::StoreError> {
     let header = bytes.get(..FILE_HEADER_BYTES);
     if header == Some(file_header(magic).as_slice()) {
         return Ok(());
     }
     let is_other_version = header.is_some_and(|header| {
-        header[..8] == magic && number(header, 12) == crc32fast::hash(&header[..12])
+        header[..8] == magic && read_u32(header, 12) == crc32fast::hash(&header[..12])
     });
     if is_other_version {
-        return Err(error::StoreError::OtherFormat { path: path.into() });
+        return Err(error::StoreError::UnsupportedFormat { path: path.into() });
     }
-    Err(damaged(path, 0, "the file's header does not match".into()))
+    Err(damaged(path, 0, "the file header does not match".into()))
 }
 
 /// Reads the record at an offset.
@@ -104,28 +105,28 @@
     let Some(header) = bytes.get(offset..start) else {
         return Ok(RecordRead::Torn);
     };
-    if crc32fast::hash(&header[..8]) != number(header, 8) {
-        if never_reached(bytes, start) {
+    if crc32fast::hash(&header[..8]) != read_u32(header, 8) {
+        if is_tail_unwritten(bytes, start) {
             return Ok(RecordRead::Torn);
         }
         return Err(damaged(
             path,
             offset,
-            "a record's header does not match".into(),
+            "a record header checksum does not match".into(),
         ));
     }
-    let next = start + number(header, 0) as usize;
+    let next = start + read_u32(header, 0) as usize;
     let Some(body) = bytes.get(start..next) else {
         return Ok(RecordRead::Torn);
     };
-    if crc32fast::hash(body) != number(header, 4) {
-        if never_reached(bytes, next) {
+    if crc32fast::hash(body) != read_u32(header, 4) {
+        if is_tail_unwritten(bytes, next) {
             return Ok(RecordRead::Torn);
         }
         return Err(damaged(
             path,
             offset,
-            "a record's body does not match".into(),
+            "a record body checksum does not match".into(),
         ));
     }
     let value = postcard::from_bytes(body);
@@ -133,19 +134,19 @@
     Ok(RecordRead::Complete { value, next })
 }
 
-/// Whether the last sectors before `end` never reached the disk.
-fn never_reached(bytes: &[u8], end: usize) -> bool {
-    let written = bytes.iter().rposition(|byte| *byte != 0);
-    let written = written.map_or(0, |last| last + 1);
-    written.next_multiple_of(SECTOR_BYTES) < end
+/// Returns whether the last sectors before `end` were never written.
+fn is_tail_unwritten(bytes: &[u8], end: usize) -> bool {
+    let written_bytes = bytes.iter().rposition(|byte| *byte != 0);
+    let written_bytes = written_bytes.map_or(0, |last| last + 1);
+    written_bytes.next_multiple_of(SECTOR_BYTES) < end
 }
 
-fn number(bytes: &[u8], at: usize) -> u32 {
-    let four = bytes[at..at + 4].try_into();
-    u32::from_le_bytes(four.expect("four bytes were taken"))
+fn read_u32(bytes: &[u8], offset: usize) -> u32 {
+    let slice = bytes[offset..offset + 4].try_into();
+    u32::from_le_bytes(slice.expect("the slice has four bytes"))
 }
 
-/// Damage at a place of a file.
+/// Returns the error for damage at an offset of a file.
 pub(crate) fn damaged(path: &Path, offset: usize, message: String) -> error::StoreError {
     error::StoreError::Damaged {
         path: path.into(),
--- a/crates/store/tests/claims.rs
+++ b/crates/store/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The file of claims: read back, cut, damaged, rewritten.
+//! Tests the claims file: reading it back, truncated tails, damage and rewriting.
 
 use std::path::Path;
 
@@ -10,29 +10,31 @@
     ClaimId {
         incarnation: ids::IncarnationNumber(1),
         number,
-        node: "127.0.0.1:7000".parse().expect("it is an address"),
+        node: "127.0.0.1:7000".parse().expect("valid address"),
     }
 }
 
-fn kept(number: u8) -> ClaimRecord {
+fn stored_record(number: u8) -> ClaimRecord {
     ClaimRecord::Kept(RequestDigest([number; 16]), claim(u64::from(number)))
 }
 
-fn filled(folder: &Path) {
-    let (mut file, recovered) = claims::ClaimFile::open(folder, true).expect("a fresh folder");
+fn write_claims(folder: &Path) {
+    let (mut file, recovered) = claims::ClaimFile::open(folder, true).expect("the folder is empty");
     assert_eq!(recovered.standing, ClaimsStanding::Unproven);
     assert!(recovered.claims.is_empty());
     file.append(&[ClaimRecord::Standing(ClaimsStanding::Whole)])
-        .expect("a sound disk");
-    file.append(&[kept(1), kept(2)]).expect("a sound disk");
-    file.append(&[kept(3)]).expect("a sound disk");
+        .expect("the write succeeds");
+    file.append(&[stored_record(1), stored_record(2)])
+        .expect("the write succeeds");
+    file.append(&[stored_record(3)])
+        .expect("the write succeeds");
     let done = ClaimRecord::Done(RequestDigest([2; 16]), claim(2));
     let released = ClaimRecord::Released(RequestDigest([1; 16]), claim(1));
-    file.append(&[done, released]).expect("a sound disk");
+    file.append(&[done, released]).expect("the write succeeds");
 }
 
-fn reopened(folder: &Path) -> (Vec<u8>, bool) {
-    let (_file, recovered) = claims::ClaimFile::open(folder, false).expect("a sound disk");
+fn reopen(folder: &Path) -> (Vec<u8>, bool) {
+    let (_file, recovered) = claims::ClaimFile::open(folder, false).expect("the file opens");
     let numbers = recovered.claims.keys().map(|request| request.0[0]);
     (
         numbers.collect(),
@@ -41,80 +43,89 @@
 }
 
 #[test]
-fn read_back() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
-    filled(folder.path());
-    let (_file, recovered) = claims::ClaimFile::open(folder.path(), false).expect("sound");
+fn claims_restored() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    write_claims(folder.path());
+    let (_file, recovered) = claims::ClaimFile::open(folder.path(), false).expect("the file opens");
     assert!(recovered.claims[&RequestDigest([2; 16])].is_done);
     assert!(!recovered.claims[&RequestDigest([3; 16])].is_done);
-    assert_eq!(reopened(folder.path()), (vec![2, 3], true));
+    assert_eq!(reopen(folder.path()), (vec![2, 3], true));
 }
 
 #[test]
 fn torn_tail() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
-    filled(folder.path());
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    write_claims(folder.path());
     let path = folder.path().join("claims");
-    let whole = std::fs::read(&path).expect("it was written");
+    let whole = std::fs::read(&path).expect("the file exists");
     for (cut, zeros) in (1..20).flat_map(|cut| [(cut, 0), (cut, 4096)]) {
         let mut bytes = whole[..whole.len() - cut].to_vec();
         bytes.resize(bytes.len() + zeros, 0);
-        std::fs::write(&path, bytes).expect("it can be written");
-        let (numbers, is_whole) = reopened(folder.path());
+        std::fs::write(&path, bytes).expect("the folder is writable");
+        let (numbers, is_complete) = reopen(folder.path());
         assert!(
-            numbers.ends_with(&[2, 3]) && is_whole,
-            "{cut} bytes are gone: {numbers:?}"
+            numbers.ends_with(&[2, 3]) && is_complete,
+            "{cut} bytes truncated: {numbers:?}"
         );
     }
 }
 
 #[test]
-fn damage_is_no_memory() {
-    for place in [0, 12, 30, 60] {
-        let folder = tempfile::tempdir().expect("a temporary folder");
-        filled(folder.path());
+fn damage_reported_lost() {
+    for offset in [0, 12, 30, 60] {
+        let folder = tempfile::tempdir().expect("a temporary folder is created");
+        write_claims(folder.path());
         let path = folder.path().join("claims");
-        let mut bytes = std::fs::read(&path).expect("it was written");
-        bytes[place] ^= 0x55;
-        std::fs::write(&path, bytes).expect("it can be written");
-        assert_eq!(reopened(folder.path()), (vec![], false), "byte {place}");
-        assert_eq!(reopened(folder.path()), (vec![], false), "it stays so");
+        let mut bytes = std::fs::read(&path).expect("the file exists");
+        bytes[offset] ^= 0x55;
+        std::fs::write(&path, bytes).expect("the folder is writable");
+        assert_eq!(reopen(folder.path()), (vec![], false), "byte {offset}");
+        assert_eq!(
+            reopen(folder.path()),
+            (vec![], false),
+            "the loss is permanent"
+        );
     }
 }
 
-/// Wherever a byte before the last record is damaged, the claims do not pass for whole.
+/// If any byte before the last record is damaged, the claims are not reported as complete.
 #[test]
 fn any_byte_damaged() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
-    filled(folder.path());
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    write_claims(folder.path());
     let path = folder.path().join("claims");
-    let whole = std::fs::read(&path).expect("it was written");
+    let whole = std::fs::read(&path).expect("the file exists");
     let last = ClaimRecord::Released(RequestDigest([1; 16]), claim(1));
-    let last = postcard::to_stdvec(&last).expect("records hold no maps");
+    let last = postcard::to_stdvec(&last).expect("claim records hold no maps");
     let header_bytes = 8;
-    for place in 0..whole.len() - last.len() - header_bytes {
+    for offset in 0..whole.len() - last.len() - header_bytes {
         for flip in [0x01, 0x55, 0xff] {
             let mut bytes = whole.clone();
-            bytes[place] ^= flip;
-            std::fs::write(&path, bytes).expect("it can be written");
-            assert_eq!(reopened(folder.path()), (vec![], false), "byte {place}");
+            bytes[offset] ^= flip;
+            std::fs::write(&path, bytes).expect("the folder is writable");
+            assert_eq!(reopen(folder.path()), (vec![], false), "byte {offset}");
         }
     }
 }
 
 #[test]
-fn rewritten() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
-    filled(folder.path());
-    let (mut file, _recovered) = claims::ClaimFile::open(folder.path(), false).expect("sound");
-    let whole = [ClaimRecord::Standing(ClaimsStanding::Whole), kept(3)];
-    file.rewrite(&whole).expect("a sound disk");
-    file.append(&[kept(4)]).expect("a sound disk");
-    assert_eq!(reopened(folder.path()), (vec![3, 4], true));
+fn rewrite_replaces() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    write_claims(folder.path());
+    let (mut file, _recovered) =
+        claims::ClaimFile::open(folder.path(), false).expect("the file opens");
+    let whole = [
+        ClaimRecord::Standing(ClaimsStanding::Whole),
+        stored_record(3),
+    ];
+    file.rewrite(&whole).expect("the write succeeds");
+    file.append(&[stored_record(4)])
+        .expect("the write succeeds");
+    assert_eq!(reopen(folder.path()), (vec![3, 4], true));
 }
 
 #[test]
 fn lost_folder() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
-    assert_eq!(reopened(folder.path()), (vec![], false));
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    assert_eq!(reopen(folder.path()), (vec![], false));
 }
--- a/crates/store/tests/decoders.rs
+++ b/crates/store/tests/decoders.rs
@@ -1,4 +1,5 @@
-//! Records read from a disk: whatever stands there, no panic, and only whole records are taken.
+//! Tests decoding of arbitrary and damaged bytes: no input causes a panic, and only intact records
+//! are accepted.
 
 use std::path::Path;
 
@@ -13,7 +14,7 @@
 
 const SEED: u64 = 7;
 const CASES: u32 = 2000;
-const LONGEST_INPUT: usize = 2048;
+const MAX_INPUT_BYTES: usize = 2048;
 
 fn runner() -> TestRunner {
     TestRunner::new(Config {
@@ -24,14 +25,14 @@
     })
 }
 
-/// Reads records until there are no more, as a start does.
+/// Reads records until one is incomplete, damaged or missing, as recovery does.
 fn read_all(bytes: &[u8]) -> Vec<record::LogRecord> {
     let mut offset = 0;
     let mut records = Vec::new();
     while let Ok(record::RecordRead::Complete { value, next }) =
         record::read_record(Path::new("log"), bytes, offset)
     {
-        assert!(next > offset, "reading goes on");
+        assert!(next > offset, "the offset advances");
         records.push(value);
         offset = next;
     }
@@ -51,11 +52,11 @@
 
 #[test]
 fn arbitrary_records() {
-    let bytes = collection::vec(any::<u8>(), 0..LONGEST_INPUT);
-    let tried = runner().run(&bytes, |bytes| {
+    let bytes = collection::vec(any::<u8>(), 0..MAX_INPUT_BYTES);
+    let result = runner().run(&bytes, |bytes| {
         assert!(
             read_all(&bytes).is_empty(),
-            "two checksums do not fit by chance"
+            "arbitrary bytes do not match two checksums"
         );
         drop(record::check_header(
             Path::new("log"),
@@ -64,7 +65,7 @@
         ));
         Ok(())
     });
-    tried.expect("no case fails");
+    result.expect("every case passes");
 }
 
 #[test]
@@ -76,14 +77,18 @@
     }
     assert_eq!(read_all(&bytes), written);
     let damage = (any::<prop::sample::Index>(), 1..=u8::MAX);
-    let tried = runner().run(&damage, |(at, flip)| {
+    let result = runner().run(&damage, |(index, flipped_bits)| {
         let mut damaged = bytes.clone();
-        let at = at.index(damaged.len());
-        damaged[at] ^= flip;
+        let index = index.index(damaged.len());
+        damaged[index] ^= flipped_bits;
         let read = read_all(&damaged);
-        assert!(read.len() < written.len(), "the damage is noticed");
-        assert_eq!(read, written[..read.len()], "what stands before it is kept");
+        assert!(read.len() < written.len(), "the damage is detected");
+        assert_eq!(
+            read,
+            written[..read.len()],
+            "records before the damage are intact"
+        );
         Ok(())
     });
-    tried.expect("no case fails");
+    result.expect("every case passes");
 }
