--- a/crates/engine/src/membership/own.rs
+++ b/crates/engine/src/membership/own.rs
@@ -88,7 +88,7 @@
             target: name.clone(),
             incarnation: record.incarnation,
         });
-        calls::end_life(state, &name, output);
+        calls::end_incarnation(state, &name, output);
     }
     if has_changed {
         output.note(timeline::TimelineEvent::TargetAnnounced {
--- a/crates/engine/tests/announcements.rs
+++ b/crates/engine/tests/announcements.rs
@@ -138,7 +138,7 @@
     let mut node = new_node();
     announce(&mut node, "one", 5, READY);
     offer(&mut node, 1);
-    let result = calls::RunResult::Misplaced;
+    let result = calls::RunResult::WrongTarget;
     let call = ids::CallId(1);
     node.call(calls::CallEvent::RunEnded { call, result });
     assert_eq!(state_of(&node, "one"), None);
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -116,7 +116,7 @@
     fn write_all(&mut self, batches: Vec<replication::PersistBatch>) -> StoreResult<()> {
         let mut bytes = Vec::new();
         for batch in batches {
-            if batch.is_whole {
+            if batch.is_full_rewrite {
                 bytes.clear();
                 self.rewrite(&batch)?;
                 continue;
@@ -179,7 +179,7 @@
 
 impl LogStore for FileStore {
     fn write(&mut self, batches: Vec<replication::PersistBatch>) -> StoreResult<()> {
-        let is_full_rewrite = batches.first().is_some_and(|batch| batch.is_whole);
+        let is_full_rewrite = batches.first().is_some_and(|batch| batch.is_full_rewrite);
         if self.has_failed && !is_full_rewrite {
             let path = self.folder.clone();
             return Err(error::StoreError::Stopped { path });
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -221,7 +221,7 @@
     entries: Vec<wire::LogEntry>,
 ) -> replication::PersistBatch {
     replication::PersistBatch {
-        is_whole: true,
+        is_full_rewrite: true,
         hard: Some(hard(term)),
         snapshot: Some(snapshot(position, term)),
         entries,
