--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that go into the reducer and effects that come out: one variant a submodule.
+//! Input events and output effects of the reducer, with one variant per submodule.
 
 use std::net::SocketAddr;
 
@@ -7,71 +7,71 @@
 
 use crate::{calls, dissemination, health, ledger, membership, quarantine, replication, timeline};
 
-/// Something that happened.
+/// An input of the reducer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// Time passed; comes every few milliseconds.
+    /// Time has passed; occurs every few milliseconds.
     Tick,
-    /// A message came from a peer that has proven the group key.
+    /// A message arrived from a peer that has proven knowledge of the group key.
     Received {
-        /// Who sent it.
+        /// Sender of the message.
         from: wire_membership::PeerIdentity,
-        /// What it says.
+        /// The message.
         message: message::PeerMessage,
     },
-    /// A link to a peer could not be opened or broke; messages on it may be lost.
+    /// A link to a peer broke or could not be opened; messages sent on it may be lost.
     LinkLost {
-        /// Peers address of the other side.
+        /// Peer address of the other side.
         address: SocketAddr,
     },
-    /// Of the replicated log.
+    /// An event of the replicated log.
     Replication(replication::ReplicationEvent),
-    /// Of the catalogue's way to the nodes.
+    /// An event of catalogue dissemination.
     Dissemination(dissemination::DisseminationEvent),
-    /// Of members and targets.
+    /// An event of membership.
     Membership(membership::MembershipEvent),
-    /// Of calls.
+    /// An event of a call.
     Calls(calls::CallEvent),
-    /// Of claims on keyed requests.
+    /// An event of the ledger of claims on requests with an idempotency key.
     Ledger(ledger::LedgerEvent),
-    /// Of requests that crash targets.
+    /// An event of the quarantine.
     Quarantine(quarantine::QuarantineEvent),
-    /// Of targets' health.
+    /// An event of target health.
     Health(health::HealthEvent),
 }
 
-/// Something to be done.
+/// An output of the reducer, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send a message to the peers address of a process; it may be lost.
+    /// Send a message to the peer address of a process; delivery is not guaranteed.
     Send {
-        /// Where to.
+        /// Peer address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: message::PeerMessage,
     },
-    /// Of the replicated log.
+    /// An effect of the replicated log.
     Replication(replication::ReplicationEffect),
-    /// Of the catalogue's way to the nodes.
+    /// An effect of catalogue dissemination.
     Dissemination(dissemination::DisseminationEffect),
-    /// Of members and targets.
+    /// An effect of membership.
     Membership(membership::MembershipEffect),
-    /// Of calls.
+    /// An effect of a call.
     Calls(calls::CallEffect),
-    /// Of claims on keyed requests.
+    /// An effect of the ledger.
     Ledger(ledger::LedgerEffect),
-    /// Of targets' health.
+    /// An effect of target health.
     Health(health::HealthEffect),
-    /// Put an event into the time line.
+    /// Record an event in the timeline.
     RecordEvent(timeline::TimelineEvent),
 }
 
-/// Where a submodule puts what follows from an event.
+/// Collects the effects and follow-up events of an input event.
 #[derive(Debug, Default)]
 pub struct ReducerOutput {
-    /// Effects, in order.
+    /// Effects in order.
     pub effects: Vec<Effect>,
-    /// Events for other submodules, reduced before `reduce` returns.
+    /// Events for other submodules, which are processed before `reduce` returns.
     pub queued_events: std::collections::VecDeque<Event>,
 }
 
@@ -87,12 +87,12 @@
         self.effects.push(Effect::Calls(effect));
     }
 
-    /// Puts an event into the time line.
+    /// Records an event in the timeline.
     pub fn record_event(&mut self, event: timeline::TimelineEvent) {
         self.effects.push(Effect::RecordEvent(event));
     }
 
-    /// Has another submodule take an event.
+    /// Queues an event for another submodule.
     pub fn enqueue(&mut self, event: Event) {
         self.queued_events.push_back(event);
     }
--- a/crates/engine/src/failed_store.rs
+++ b/crates/engine/src/failed_store.rs
@@ -1,46 +1,48 @@
-//! The way back of a store that has refused a write.
+//! Recovery of a store after a failed write.
 //!
-//! After a failed write or sync nobody can tell what the disk holds: a sync that is tried again may
-//! succeed although the first one has lost what it was for. So nothing is added to what is there.
-//! The store is given everything that it must keep in one batch, which replaces what it held, as
-//! often as it takes; until one of these is kept, its owner acknowledges nothing.
+//! After a failed write or sync the contents of the disk are unknown: a repeated sync may succeed
+//! although the first one has lost its data. Nothing is therefore appended to the existing files.
+//! The store is rewritten with everything that it must hold, in one batch that replaces its
+//! contents. This is repeated until such a batch is durable, and until then the owner of the store
+//! acknowledges nothing.
 //!
-//! A fault of seconds, such as a disk that is full, must not cost a replica for the rest of its
-//! process's life: the group would bear one loss less from then on, with nobody there to restart it.
+//! A fault of a few seconds, such as a full disk, must not disable a replica until its process is
+//! restarted: the group would tolerate one failure less, possibly with nobody there to restart it.
 
 use std::time::Duration;
 
 use hazeltiller_units::time;
 
-/// A store that keeps nothing until it has been given everything anew.
+/// A store that is unusable until it has been rewritten as a whole.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FailedStore {
     retry_at: time::MonotonicTime,
-    /// Number of the batch that holds everything, once it is on its way.
-    awaited: Option<u64>,
+    /// Number of the rewriting batch that is in progress.
+    rewrite_batch: Option<u64>,
 }
 
 impl FailedStore {
-    /// A store that refused now and is given everything after `period`.
+    /// Returns the state of a store that has just failed and is to be rewritten after `period`.
     pub(crate) fn new(now: time::MonotonicTime, period: Duration) -> Self {
         Self {
             retry_at: now + period,
-            awaited: None,
+            rewrite_batch: None,
         }
     }
 
-    /// Whether it is time to give it everything.
+    /// Returns whether a rewrite should be started.
     pub(crate) fn is_due(&self, now: time::MonotonicTime) -> bool {
-        self.awaited.is_none() && now >= self.retry_at
+        self.rewrite_batch.is_none() && now >= self.retry_at
     }
 
-    /// Notes that this batch holds everything and is on its way.
+    /// Records that a rewrite with this batch number has been started.
     pub(crate) fn record_rewrite(&mut self, batch: u64) {
-        self.awaited = Some(batch);
+        self.rewrite_batch = Some(batch);
     }
 
-    /// Whether a batch that is kept now was the one that holds everything.
-    pub(crate) fn is_recovered(&self, kept: u64) -> bool {
-        self.awaited.is_some_and(|awaited| awaited <= kept)
+    /// Returns whether the rewrite has become durable, given the last durable batch.
+    pub(crate) fn is_recovered(&self, durable_batch: u64) -> bool {
+        self.rewrite_batch
+            .is_some_and(|rewrite| rewrite <= durable_batch)
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of the system, as one reducer without clock, disk or network.
+//! The decision logic of the system, as a single reducer without clock, disk or network.
 //!
-//! `reduce` takes the state, the time and one event, changes the state and returns effects as data.
-//! Whoever runs the effects reports back with further events. So a fault is a sequence of events,
-//! and a test replays it exactly.
+//! `reduce` takes the state, the time and one event; it updates the state and returns effects as
+//! data. The caller carries out the effects and reports their results as further events. A fault is
+//! thus a sequence of events, which a test can replay exactly.
 
 pub mod admission;
 pub mod calls;
--- a/crates/engine/src/reducer.rs
+++ b/crates/engine/src/reducer.rs
@@ -1,4 +1,4 @@
-//! The one reducer: hands each event to the submodule it is for.
+//! The reducer, which dispatches each event to the submodule that handles it.
 
 use hazeltiller_units::time;
 use hazeltiller_wire::message;
@@ -10,41 +10,41 @@
     retry, rollout, routing, settings,
 };
 
-/// The whole state of a process's decisions.
+/// The state of all decisions of a process.
 #[derive(Debug, Clone)]
 pub struct EngineState {
-    /// What the process was started with.
+    /// Settings that the process was started with.
     pub settings: settings::EngineSettings,
-    /// Time of the event that is being reduced.
+    /// Time of the event that is being processed.
     pub now: time::MonotonicTime,
-    /// Every random choice comes from here.
+    /// Source of all random choices.
     pub random: ChaCha8Rng,
-    /// The replicated log; absent without the control role.
+    /// The replicated log; `None` without the control role.
     pub replication: Option<replication::ReplicationState>,
-    /// The catalogue in force and its way here.
+    /// The catalogue in force and its dissemination.
     pub dissemination: dissemination::DisseminationState,
     /// Members and targets.
     pub membership: membership::MembershipState,
-    /// Choice of targets.
+    /// Routes and target selection.
     pub routing: routing::RoutingState,
     /// Slots and queues of own targets.
     pub admission: admission::AdmissionState,
     /// Health of own targets.
     pub health: health::HealthState,
-    /// Budgets of second tries.
+    /// Retry budgets.
     pub retry: retry::RetryState,
-    /// Calls on their way through this process.
+    /// Calls that pass through this process.
     pub calls: calls::CallState,
-    /// Claims on keyed requests.
+    /// Claims on requests with an idempotency key.
     pub ledger: ledger::LedgerState,
     /// Requests that crash targets.
     pub quarantine: quarantine::QuarantineState,
-    /// Moves of services to other versions.
+    /// Rollouts of new versions.
     pub rollout: rollout::RolloutState,
 }
 
 impl EngineState {
-    /// The state of a process that starts.
+    /// Returns the state of a process that starts.
     pub fn new(
         settings: settings::EngineSettings,
         replication: Option<replication::ReplicationState>,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Takes one event: changes the state and returns what is to be done, in order.
+/// Processes one event: updates the state, and returns the effects in order.
 pub fn reduce(
     state: &mut EngineState,
     now: time::MonotonicTime,
@@ -78,10 +78,10 @@
     state.now = state.now.max(now);
     let mut output = event::ReducerOutput::default();
     output.enqueue(event);
-    while let Some(next) = output.queued_events.pop_front() {
-        let first = output.effects.len();
-        dispatch(state, next, &mut output);
-        ledger::settle_refusals(state, first, &mut output);
+    while let Some(next_event) = output.queued_events.pop_front() {
+        let first_effect = output.effects.len();
+        dispatch(state, next_event, &mut output);
+        ledger::settle_refusals(state, first_effect, &mut output);
     }
     output.effects
 }
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -1,25 +1,25 @@
-//! What a process knows when it starts, and the tunables of each decision.
+//! Settings of the engine, and the tunables of each decision.
 //!
-//! A tunable is a whole number with a default, a range and a line of documentation, all in one
-//! place: the settings file, docs/SETTINGS.md and the reducer read the same table. Its unit is the
-//! end of its name.
+//! A tunable is an integer with a default, a range and a line of documentation, all in one place:
+//! the settings file, docs/SETTINGS.md and the reducer use the same table. The suffix of its name
+//! gives its unit.
 
 use std::{net::SocketAddr, ops::RangeInclusive, time::Duration};
 
 use hazeltiller_wire::membership;
 
-/// One tunable as it is documented and checked.
+/// Description of a tunable for documentation and validation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TunableRow {
-    /// Group of the tunable: the key under `tunables` in the settings file.
+    /// Group of the tunable, which is the key under `tunables` in the settings file.
     pub group: &'static str,
     /// Key within the group.
     pub name: &'static str,
-    /// Value where the settings file gives none.
+    /// Value if the settings file gives none.
     pub default: u64,
-    /// Values that are allowed.
+    /// Valid values.
     pub range: RangeInclusive<u64>,
-    /// What it is.
+    /// Documentation line.
     pub doc: &'static str,
 }
 
@@ -44,14 +44,14 @@
             }
         )*
 
-        /// Every tunable, by group.
+        /// All tunables by group.
         #[derive(Debug, Clone, Default, PartialEq, Eq)]
         pub struct EngineTunables {
             $($(#[doc = $group_doc])+ pub $group: $type,)*
         }
 
         impl EngineTunables {
-            /// Every tunable as it is documented, in order.
+            /// Returns the descriptions of all tunables in order.
             pub fn rows() -> Vec<TunableRow> {
                 vec![$($(TunableRow {
                     group: stringify!($group),
@@ -62,7 +62,7 @@
                 },)*)*]
             }
 
-            /// The place of a tunable; `None` when there is no such one.
+            /// Returns a reference to the value of a tunable; `None` if there is no such tunable.
             pub fn value_mut(&mut self, group: &str, name: &str) -> Option<&mut u64> {
                 match (group, name) {
                     $($((stringify!($group), stringify!($name)) => {
@@ -76,235 +76,252 @@
 }
 
 tunables! {
-    /// Tunables of requests on their way.
+    /// Tunables of request forwarding.
     RequestTunables in requests {
-        /// Bytes of a request's body that are kept for another try and for its fingerprint.
+        /// Maximum number of bytes of a request's body that are buffered for retries and for its
+        /// fingerprint.
         replay_bytes = 65_536, 0..=4_194_304;
-        /// Largest answer of a target that is read whole before it is passed on, in bytes, so that
-        /// one that breaks off can be tried again; 0 passes every answer on as it comes.
+        /// Largest response of a target that is buffered as a whole before it is forwarded, in
+        /// bytes, so that a truncated one can be retried; with 0 every response is streamed.
         answer_hold_bytes = 65_536, 0..=4_194_304;
         /// Largest head of a request, in bytes; a larger one is refused with status 431.
         head_bytes = 65_536, 8192..=1_048_576;
-        /// Most header lines of a request; more are refused with status 431.
+        /// Maximum number of header lines of a request; more are refused with status 431.
         head_lines = 128, 16..=1024;
-        /// Longest time that a caller takes to send the head of a request, in milliseconds.
+        /// Maximum time for a caller to send the head of a request, in milliseconds.
         head_ms = 30_000, 100..=600_000;
-        /// Time that a stopping node goes on taking requests, for its peers to learn of it, in milliseconds.
+        /// Time for which a stopping node still accepts requests, so that its peers learn of the
+        /// stop, in milliseconds.
         leave_ms = 2000, 0..=60_000;
-        /// The last part of it, for which its peers know and offer its target nothing more, in
-        /// milliseconds; before that they go on offering. More than `leave_ms` tells them at once.
+        /// Final part of `leave_ms` in which the node announces its stop to its peers, which then
+        /// offer its target nothing more, in milliseconds; before that they continue to offer. A
+        /// value above `leave_ms` announces it at once.
         tell_ms = 60_000, 0..=60_000;
-        /// Longest time that a stopping node waits for requests in flight, in milliseconds.
+        /// Maximum time for which a stopping node waits for requests in flight, in milliseconds.
         finish_ms = 30_000, 0..=600_000;
     }
 
-    /// Tunables of the control group's log.
+    /// Tunables of the replicated log of the control group.
     ReplicationTunables in replication {
-        /// Silence after which a replica stands for election, and after which a leader that hears
-        /// no majority steps down, in milliseconds; each wait is drawn from one to two times this.
+        /// Election timeout, in milliseconds, drawn at random from one to two times this value: a
+        /// replica that hears no leader for that long starts an election, and a leader that hears
+        /// no majority steps down.
         election_ms = 500, 50..=60_000;
-        /// Time between two signs of life of a leader, in milliseconds.
+        /// Interval between heartbeats of a leader, in milliseconds.
         heartbeat_ms = 100, 10..=10_000;
-        /// Time between two introductions of a replica that has no leader, in milliseconds.
+        /// Interval between introductions of a replica without a leader, in milliseconds.
         introduction_ms = 250, 20..=60_000;
-        /// Entries in one message at most.
+        /// Maximum number of log entries per message.
         append_entries = 256, 1..=4096;
-        /// Entries after which a snapshot is taken and the log before it dropped from the disk.
+        /// Number of log entries after which a snapshot is taken and the log before it is deleted
+        /// from disk.
         snapshot_entries = 10_000, 16..=10_000_000;
-        /// Entries before the snapshot that stay in memory for followers that lag.
+        /// Log entries before the snapshot that stay in memory for followers that lag behind.
         trailing_entries = 1_000, 0..=1_000_000;
-        /// Time after which a control whose disk has refused a write gives it everything anew, and
-        /// between two such tries, in milliseconds.
+        /// Delay until a control whose disk has failed a write rewrites its whole store, and
+        /// between further such attempts, in milliseconds.
         rewrite_ms = 500, 50..=60_000;
-        /// Accepted changes that are remembered, so that a resend gets the first answer.
+        /// Accepted changes that are remembered, so that a resend gets the same result.
         changes_kept = 4_096, 16..=1_000_000;
-        /// Voters that the group keeps: it replaces one that is lost by a replica that has caught
-        /// up, without an administrator; 0 leaves the group as it is.
+        /// Target number of voters: a lost voter is replaced by a replica that has caught up,
+        /// without an administrator; 0 never changes the group.
         voters = 0, 0..=7;
-        /// Silence of a voter after which a replica that has caught up takes its vote, in
+        /// Silence of a voter after which a replica that has caught up replaces it, in
         /// milliseconds.
         replace_ms = 1_500, 100..=600_000;
-        /// Longest time for which an operator waits for the answer to a change, in milliseconds.
+        /// Maximum time that an operator waits for the result of a change, in milliseconds.
         answer_ms = 5_000, 100..=60_000;
     }
 
-    /// Tunables of claims on keyed requests.
+    /// Tunables of the claims on requests with an idempotency key.
     LedgerTunables in ledger {
-        /// Longest time that a node tries to have a claim kept by a majority of the controls, in
+        /// Maximum time that a node tries to get a claim stored by a majority of the controls, in
         /// milliseconds.
         claim_ms = 1000, 50..=60_000;
-        /// Silence of the node that holds a claim after which what became of it counts as unknown, in milliseconds.
+        /// Silence of the node that holds a claim after which the result of its request counts as
+        /// unknown, in milliseconds.
         ask_ms = 1500, 100..=60_000;
-        /// Time that a control keeps a claim, in milliseconds: a resend after that may run again.
+        /// Time that a control keeps a claim, in milliseconds; a resend after that may run again.
         retention_ms = 3_600_000, 1000..=604_800_000;
-        /// Claims that a control keeps at most; more are declined.
+        /// Maximum number of claims that a control keeps; more are declined.
         claims = 400_000, 100..=100_000_000;
         /// Time that a node keeps the answer of a claimed request for resends, in milliseconds.
         kept_ms = 600_000, 0..=86_400_000;
-        /// Answers that a node keeps at most.
+        /// Maximum number of answers that a node keeps.
         kept_answers = 10_000, 0..=10_000_000;
-        /// Bytes of answers that a node keeps at most.
+        /// Maximum total size of the answers that a node keeps, in bytes.
         kept_bytes = 8_388_608, 0..=1_073_741_824;
         /// Largest answer that is kept, in bytes.
         answer_bytes = 65_536, 0..=4_194_304;
     }
 
-    /// Tunables of requests that crash targets.
+    /// Tunables of the quarantine of requests that crash targets.
     QuarantineTunables in quarantine {
-        /// Time for which a request that was in flight at one crash runs alone, in milliseconds.
+        /// Time for which a request that was in flight at one crash runs isolated, in milliseconds.
         suspect_ms = 30_000, 0..=86_400_000;
         /// Time for which a request that was in flight at two crashes is refused, in milliseconds.
         refuse_ms = 300_000, 0..=86_400_000;
-        /// Requests that are remembered for crashes at most.
+        /// Maximum number of requests that are remembered for crashes.
         blamed = 4_096, 16..=1_000_000;
     }
 
-    /// Tunables of dissemination.
+    /// Tunables of catalogue dissemination.
     DisseminationTunables in dissemination {
-        /// Time between two keepalives to the parent in the relay tree, in milliseconds. With
-        /// `fan_out` the choice between convergence and control bytes: smaller finds a silent relay sooner, larger
-        /// costs less in rest.
+        /// Interval between keepalives to the parent in the relay tree, in milliseconds. Together
+        /// with `fan_out` it balances convergence against control traffic: a smaller value detects
+        /// a silent relay sooner, a larger one costs less when idle.
         keepalive_ms = 1000, 50..=60_000;
-        /// Nodes that a control feeds in each data centre. What the source sends for a change grows
-        /// with it; one alone would leave a data centre to gossip when it fails.
+        /// Nodes that a control feeds in each data centre. The bytes that the source sends per
+        /// change grow with it; with a single one, a data centre depends on gossip when that node
+        /// fails.
         heads = 2, 0..=4096;
-        /// Children that a node feeds. Larger makes the tree flatter and costs its inner nodes
-        /// more; 0 leaves all below the heads to gossip.
+        /// Maximum number of children of a node in the relay tree. A larger value makes the tree
+        /// flatter and costs its inner nodes more; with 0 all nodes below the heads depend on
+        /// gossip.
         fan_out = 4, 0..=4096;
-        /// Changes that are kept to catch others up by.
+        /// Changes that are kept to bring other processes up to date.
         history_steps = 512, 0..=65_536;
-        /// Whole catalogues that a process sends at once.
+        /// Maximum number of full catalogues that a process sends concurrently.
         snapshots_at_once = 4, 1..=1024;
-        /// Time that a process without memory gives the control group to answer before it asks
-        /// the nodes of its data centre, in milliseconds.
+        /// Time that a process without a stored version waits for the control group to answer
+        /// before it asks the nodes of its data centre, in milliseconds.
         floor_wait_ms = 1500, 100..=600_000;
-        /// Time that a node gives its parent before it takes a later version from another node
+        /// Time that a node waits for its parent before it pulls a later version from another node
         /// that has it, in milliseconds.
         pull_grace_ms = 150, 0..=60_000;
     }
 
     /// Tunables of membership.
     MembershipTunables in membership {
-        /// Time between two probes of each partner, in milliseconds.
+        /// Interval between probes of each gossip partner, in milliseconds.
         gossip_ms = 1000, 20..=60_000;
-        /// Partners in the own data centre.
+        /// Number of gossip partners in the own data centre.
         gossip_fan_out = 3, 1..=32;
-        /// Silence of a partner after which it is suspected aloud, in milliseconds.
+        /// Silence of a partner after which its suspicion is gossiped, in milliseconds.
         suspect_ms = 2500, 100..=600_000;
-        /// Time that a suspected member has to refute, in milliseconds.
+        /// Time for a suspected member to refute the suspicion, in milliseconds.
         confirm_ms = 3000, 100..=600_000;
-        /// Silence of a whole data centre after which it counts as cut off, in milliseconds.
+        /// Silence of a whole data centre after which it counts as partitioned, in milliseconds.
         centre_silence_ms = 6000, 500..=600_000;
-        /// Shortest time between two comparisons of the table of members, in milliseconds.
+        /// Minimum interval between comparisons of the table of members, in milliseconds.
         sync_ms = 2000, 50..=600_000;
-        /// Lease of a target that announces itself without naming one, in milliseconds.
+        /// Lease of a target whose announcement does not give one, in milliseconds.
         lease_ms = 8000, 100..=600_000;
-        /// Time that a target that left is remembered, so that an announcement that was held up
-        /// does not bring it back, in milliseconds.
+        /// Time that a target that has left is remembered, so that a delayed announcement does not
+        /// bring it back, in milliseconds.
         departed_ms = 60_000, 0..=3_600_000;
-        /// Time between two tries to reach a member that does not answer, in milliseconds.
+        /// Interval between attempts to reach a member that does not answer, in milliseconds.
         heal_ms = 3000, 100..=600_000;
-        /// Time after which an unreachable member no longer counts as one, in milliseconds.
+        /// Time after which an unreachable member is removed, in milliseconds.
         forget_ms = 3_600_000, 1000..=604_800_000;
-        /// Time that a record of a member that left is kept against older copies, in
+        /// Time that the record of a member that has left is kept to override older copies, in
         /// milliseconds.
         tombstone_ms = 86_400_000, 1000..=2_592_000_000;
     }
 
-    /// Tunables of the choice of targets.
+    /// Tunables of target selection.
     RoutingTunables in routing {
-        /// Time over which what a report says of other nodes' calls halves, in milliseconds.
+        /// Half-life of the load from other nodes in a target's report, in milliseconds.
         load_half_life_ms = 1000, 10..=60_000;
         /// Requests per slot, in percent, above which calls go to a data centre further away.
         spill_pressure_percent = 100, 1..=1000;
-        /// Targets that are compared for a call. With 2, the less pressed of two random ones in the
-        /// nearest data centre that has room. With more, the node's own one and so many others are
-        /// compared, half of them from other data centres, and the one that is expected to answer
-        /// first is taken: more of them choose better while few nodes share them, worse where sixty
-        /// nodes all find the same one idle.
+        /// Number of targets that are compared for a call. With 2, the less loaded of two random
+        /// ones in the nearest data centre with free slots is selected. With more, the node's own
+        /// target and this number of others are compared, half of them from other data centres, and
+        /// the one that is expected to answer first is selected. More targets give a better
+        /// selection while few nodes share them, and a worse one where sixty nodes all find the
+        /// same target idle.
         compared = 2, 2..=64;
-        /// What another data centre of the region counts for where answers are compared by when they
-        /// are expected, in percent of a run: of two targets that answer about equally soon the
-        /// nearer one is taken.
+        /// Penalty for a target in another data centre of the region when expected answer times are
+        /// compared, in percent of its run time; of two targets that would answer at about the same
+        /// time the nearer one is selected.
         far_run_percent = 30, 0..=1000;
-        /// What each kilobyte of a request and its answer between data centres counts for there, in
-        /// milliseconds: those bytes cost, and an answer that is hardly sooner does not pay for them.
+        /// Penalty for each kilobyte of a request and its answer between data centres in that
+        /// comparison, in milliseconds; such traffic is costly, and a slightly earlier answer does
+        /// not justify it.
         far_kilobyte_ms = 15, 0..=1000;
     }
 
     /// Tunables of health.
     HealthTunables in health {
-        /// Failures in a row that make a target unhealthy; also the fewest that can.
+        /// Consecutive failures that make a target unhealthy; also the minimum number of failures
+        /// that can.
         failed_in_row = 5, 1..=100;
         /// Share of failures that makes a target unhealthy, in percent.
         failed_percent = 50, 1..=100;
-        /// Time over which counts of outcomes halve, in milliseconds.
+        /// Half-life of the outcome counts, in milliseconds.
         half_life_ms = 5000, 100..=600_000;
-        /// Time of a first ejection, in milliseconds; each one after it doubles, up to 16 times.
+        /// Duration of a first ejection, in milliseconds; it doubles with each further one, up to
+        /// 16 times.
         ejection_ms = 2000, 50..=600_000;
-        /// Largest share of a service's targets that are kept out of choice, in percent.
+        /// Maximum share of a service's targets that are ejected, in percent.
         ejected_percent = 50, 0..=100;
-        /// Bad probes in a row that make a target without calls unhealthy.
+        /// Consecutive failed health checks that make a target without calls unhealthy.
         bad_probes = 3, 1..=100;
     }
 
     /// Tunables of admission.
     AdmissionTunables in admission {
-        /// Time whose worth of an owner's rate may come at once, in milliseconds.
+        /// Burst size of an owner's rate limit, as the time in which the rate yields it, in
+        /// milliseconds.
         burst_ms = 1000, 1..=60_000;
     }
 
     /// Tunables of retries.
     RetryTunables in retry {
-        /// Second tries that each good first answer of a service pays for, in percent of one.
+        /// Retries that each successful first answer of a service adds to the budget, in percent of
+        /// one.
         budget_percent = 10, 0..=100;
-        /// Second tries of a service that a node may make at once, before any answer paid for them.
+        /// Retries of a service that a node may make at once, before any answer has added to the
+        /// budget.
         budget_reserve = 3, 0..=1000;
-        /// Times that a call goes on to another target, beyond the route's tries, after nodes that had
-        /// no room for it before their target was offered it.
+        /// Maximum number of further offers of a call, beyond the route's attempts, after owner
+        /// nodes that had no free slot for it before their target was offered it.
         free_placements = 0, 0..=16;
-        /// Such further offers that each call of the same service and class with a good answer pays for, in
-        /// percent of one.
+        /// Further offers that each successful call of the same service and class adds to their
+        /// budget, in percent of one.
         placement_percent = 20, 0..=1000;
-        /// Such further offers of a service and class that a node may make at once, before any was paid for.
+        /// Further offers of a service and class that a node may make at once, before any call has
+        /// added to their budget.
         placement_reserve = 10, 0..=1000;
-        /// Times that a call goes on to another target after nodes that were not reached, or that said that they or their target leave:
-        /// a stop of two neighbours is no reason to refuse a call.
+        /// Maximum number of further offers of a call after nodes that could not be reached, or
+        /// that reported that they or their target are leaving, so that the stop of two neighbours
+        /// causes no refusal.
         leaving_placements = 2, 0..=16;
     }
 
-    /// Tunables of roll-outs.
+    /// Tunables of rollouts.
     RolloutTunables in rollout {
-        /// Largest share of a service's calls that a new version gets while it is on trial, in
+        /// Maximum share of a service's calls that a new version gets during its trial, in
         /// thousandths.
         trial_permille = 60, 1..=500;
     }
 
-    /// Tunables of the time line.
+    /// Tunables of the timeline.
     TimelineTunables in timeline {
-        /// Events that are kept, those of calls not counted.
+        /// Number of events that are kept, not counting events of calls.
         events = 4096, 64..=1_000_000;
-        /// Events of calls that are kept; 0 keeps none.
+        /// Number of events of calls that are kept; 0 keeps none.
         call_events = 4096, 0..=1_000_000;
     }
 }
 
-/// What a tunable in percent is divided by.
+/// Divisor that turns a tunable in percent into a fraction.
 pub const PERCENT: f64 = 100.0;
 
-/// A tunable in milliseconds as a span of time.
+/// Converts a tunable in milliseconds to a duration.
 pub fn millis(tunable: u64) -> Duration {
     Duration::from_millis(tunable)
 }
 
-/// What the engine is told when it starts.
+/// Settings that the engine is started with.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// Who this process is.
+    /// Identity of this process.
     pub identity: membership::PeerIdentity,
-    /// Peers addresses of the control instances.
+    /// Peer addresses of the control instances.
     pub control: Vec<SocketAddr>,
-    /// Seed of every random choice.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Tunables of each decision.
     pub tunables: EngineTunables,
--- a/crates/engine/src/timeline.rs
+++ b/crates/engine/src/timeline.rs
@@ -1,7 +1,8 @@
-//! What stands in the time line: one enum for the whole system.
+//! Timeline events: one enum for the whole system.
 //!
-//! Most events are derived where the reducer's events and effects pass, so a submodule has nothing
-//! to do for them; for what only it knows it calls [`crate::event::ReducerOutput::note`].
+//! Most events are derived from the reducer's events and effects outside the engine, so submodules
+//! need no code for them. Events that only a submodule can know are recorded with
+//! [`crate::event::ReducerOutput::record_event`].
 
 use std::{fmt, net::SocketAddr};
 
@@ -12,404 +13,408 @@
 
 use crate::rollout::cohort;
 
-/// How a member is seen.
+/// State of a member as seen by this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberView {
-    /// It answers.
+    /// The member is reachable.
     Reachable,
-    /// It does not answer; it may still run.
+    /// The member does not respond; it may still run.
     Unreachable,
-    /// It said that it leaves.
+    /// The member has announced that it leaves.
     Left,
-    /// It is forgotten.
+    /// The member has been removed from the table of members.
     Forgotten,
 }
 
-/// How a try or a run ended, other than by an answer.
+/// The way in which an attempt or a run failed to produce an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallFailure {
-    /// The owner node was not reached.
+    /// The owner node could not be reached.
     NotReached,
     /// The link to the owner node broke.
     Lost,
-    /// The owner node refused.
+    /// The owner node refused the offer.
     Refused,
-    /// The target took no connection.
+    /// The target accepted no connection.
     NotConnected,
-    /// The target said that it did not run the request.
+    /// The target answered that it did not run the request.
     Declined,
     /// Another target answered at the address.
     Misplaced,
-    /// What came was no whole answer to the request.
+    /// The response was malformed or incomplete.
     Unsound,
-    /// The target closed the connection before an answer.
+    /// The target closed the connection before it answered.
     Crashed,
-    /// The first byte of an answer did not come in time.
+    /// The first byte of the answer did not arrive in time.
     TimedOut,
     /// The target broke off its answer.
     Cut,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// An event of the time line.
+/// An event of the timeline.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum TimelineEvent {
     /// The process started.
     ProcessStarted {
-        /// This life of it.
+        /// Incarnation of the process.
         incarnation: ids::IncarnationNumber,
     },
     /// The process was asked to stop.
     ProcessStopping,
-    /// An operator proposed a change here.
+    /// An operator proposed a change at this process.
     ChangeProposed {
-        /// Its id.
+        /// Id of the change.
         change: ids::ChangeId,
-        /// The version that it was decided on.
+        /// Catalogue version that the change is based on.
         expects: ids::CatalogueVersion,
     },
-    /// A proposed change is accepted.
+    /// A proposed change was accepted.
     ChangeAccepted {
-        /// Its id.
+        /// Id of the change.
         change: ids::ChangeId,
-        /// The version that it made.
+        /// Catalogue version that the change produced.
         version: ids::CatalogueVersion,
     },
-    /// A proposed change is refused.
+    /// A proposed change was refused.
     ChangeRefused {
-        /// Its id.
+        /// Id of the change.
         change: ids::ChangeId,
-        /// Why.
+        /// Reason for the refusal.
         code: code::ResultCode,
     },
-    /// Whether a proposed change is accepted cannot be told.
+    /// The result of a proposed change is unknown.
     ChangeUnknown {
-        /// Its id.
+        /// Id of the change.
         change: ids::ChangeId,
     },
-    /// A proposed change went on to the leader.
+    /// A proposed change was forwarded to the leader.
     ChangeForwarded {
-        /// Its id.
+        /// Id of the change.
         change: ids::ChangeId,
-        /// Peers address of the leader.
+        /// Peer address of the leader.
         leader: SocketAddr,
     },
-    /// The log has something that an operator must learn.
+    /// The replicated log reported something that operators should know.
     LogReported {
-        /// Its code.
+        /// Result code.
         code: code::ResultCode,
-        /// What happened.
+        /// Description of what happened.
         message: String,
     },
-    /// A version is in force here.
+    /// A catalogue version came into force on this process.
     VersionInForce {
-        /// The version.
+        /// Catalogue version.
         version: ids::CatalogueVersion,
-        /// Its digest.
+        /// Digest of the catalogue.
         digest: ids::StateDigest,
     },
-    /// A version was not taken, for want of the right digest; what was in force stays.
+    /// A catalogue version was rejected because its digest does not match; the version in force
+    /// stays.
     VersionRefused {
-        /// Who sent it.
+        /// Instance that sent it.
         from: ids::InstanceName,
-        /// The version that stays in force.
+        /// Version that stays in force.
         held: ids::CatalogueVersion,
-        /// Why.
+        /// Reason for the rejection.
         code: code::ResultCode,
     },
     /// The control group has a leader.
     LeaderKnown {
-        /// Its term.
+        /// Term of the leader.
         term: ids::LeaderTerm,
-        /// Its peers address.
+        /// Peer address of the leader.
         leader: SocketAddr,
     },
     /// A voter has not answered this leader within an election timeout.
     VoterSilent {
-        /// The voter's instance.
+        /// Instance of the voter.
         voter: ids::InstanceName,
-        /// Voters that answer, this one included.
+        /// Number of responsive voters, this one included.
         alive: usize,
-        /// Voters that a commit needs.
+        /// Number of voters that a commit requires.
         majority: usize,
     },
     /// A silent voter answers this leader again.
     VoterBack {
-        /// The voter's instance.
+        /// Instance of the voter.
         voter: ids::InstanceName,
-        /// Voters that answer, this one included.
+        /// Number of responsive voters, this one included.
         alive: usize,
-        /// Voters that a commit needs.
+        /// Number of voters that a commit requires.
         majority: usize,
     },
-    /// This control knows of no leader any more.
+    /// This control no longer knows a leader.
     LeaderLost {
-        /// Its latest term.
+        /// Last known term.
         term: ids::LeaderTerm,
     },
-    /// A member is seen otherwise than before.
+    /// The state of a member has changed.
     MemberChanged {
-        /// Who.
+        /// Instance of the member.
         member: ids::InstanceName,
-        /// How.
+        /// New state of the member.
         view: MemberView,
     },
-    /// The parent in the relay tree was left.
+    /// The parent in the relay tree was abandoned.
     ParentLost {
-        /// Its peers address.
+        /// Peer address of the parent.
         parent: SocketAddr,
-        /// Why.
+        /// Reason for leaving it.
         reason: String,
     },
     /// A link broke or could not be opened.
     LinkLost {
-        /// Peers address of the other side.
+        /// Peer address of the other side.
         address: SocketAddr,
     },
-    /// Something came again from the other side of a lost link.
+    /// A message arrived again from the other side of a lost link.
     LinkBack {
-        /// Peers address of the other side.
+        /// Peer address of the other side.
         address: SocketAddr,
     },
-    /// A target's announcement was held up on the way and says nothing new.
+    /// An announcement of a target was delayed and is already superseded.
     AnnouncementOutdated {
-        /// The target.
+        /// Name of the target.
         target: ids::TargetName,
-        /// What it said of itself.
+        /// State in the announcement.
         state: membership::TargetState,
-        /// Number of the announcement.
+        /// Sequence number of the announcement.
         sequence: u64,
     },
-    /// An announcement names a service that the catalogue lacks and the name or address of a target that
-    /// is known: the known one stays.
+    /// An announcement was ignored because it names a service that the catalogue lacks, together
+    /// with the name or address of a known target.
     AnnouncementForeign {
-        /// The target that it names.
+        /// Name of the target in the announcement.
         target: ids::TargetName,
-        /// The service.
+        /// Service in the announcement.
         service: ids::EntryName,
     },
-    /// An own target started again under its name: nothing of its earlier life holds.
+    /// An own target restarted under the same name; the state of its previous incarnation is
+    /// discarded.
     TargetRestarted {
-        /// Its name.
+        /// Name of the target.
         target: ids::TargetName,
-        /// Its new life.
+        /// New incarnation of the target.
         incarnation: ids::IncarnationNumber,
     },
-    /// A service's roll-out came into another phase.
+    /// The rollout of a service entered another phase.
     RolloutAdvanced {
-        /// The service.
+        /// Service of the rollout.
         service: ids::EntryName,
-        /// The version that calls move to.
+        /// Version that the rollout moves the calls to.
         to: ids::SoftwareVersion,
-        /// The phase.
+        /// New phase.
         phase: rollout::RolloutPhase,
-        /// Why.
+        /// Reason for the transition.
         reason: String,
     },
-    /// An own target announced something new.
+    /// An own target announced a change.
     TargetAnnounced {
-        /// Its name.
+        /// Name of the target.
         target: ids::TargetName,
-        /// Its service.
+        /// Service of the target.
         service: ids::EntryName,
-        /// What it says of itself.
+        /// State in the announcement.
         state: membership::TargetState,
     },
-    /// An own target left or its lease lapsed.
+    /// An own target left, or its lease expired.
     TargetWithdrawn {
-        /// Its name.
+        /// Name of the target.
         target: ids::TargetName,
     },
-    /// A target gets no calls for a time.
+    /// A target was ejected, and gets no calls for a time.
     TargetEjected {
-        /// Its name.
+        /// Name of the target.
         target: ids::TargetName,
     },
     /// An ejected target gets calls again.
     TargetReturned {
-        /// Its name.
+        /// Name of the target.
         target: ids::TargetName,
     },
-    /// A request is held off because it crashed targets.
+    /// A request was quarantined because it crashed targets.
     RequestQuarantined {
-        /// Its fingerprint.
+        /// Fingerprint of the request.
         fingerprint: String,
     },
-    /// A caller's request came.
+    /// A request arrived from a caller.
     CallArrived {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// Method.
+        /// HTTP method.
         method: String,
-        /// Path without query.
+        /// Path without the query.
         path: String,
-        /// Time that the caller leaves, in milliseconds.
+        /// Time until the caller's deadline, in milliseconds.
         deadline_left_ms: Option<u64>,
-        /// Version of the catalogue that it is served by.
+        /// Catalogue version that the request is served with.
         version: ids::CatalogueVersion,
     },
-    /// A call is offered to the node of a target.
+    /// A call was offered to the owner node of a target.
     CallTried {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// Number of the try, from 1.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// The chosen target.
+        /// Selected target.
         target: ids::TargetName,
-        /// Peers address of its node.
+        /// Peer address of the owner node.
         node: SocketAddr,
-        /// Time left, in milliseconds.
+        /// Time until the deadline, in milliseconds.
         deadline_left_ms: u32,
-        /// Longest wait there that is better than another target, in milliseconds.
+        /// Longest queueing time there that is better than another target, in milliseconds.
         patience_ms: u32,
-        /// Version of the target, while a roll-out of its service is under way.
+        /// Version of the target, while its service has a rollout in progress.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         version: Option<ids::SoftwareVersion>,
-        /// The target's part in that roll-out.
+        /// Cohort of the target in that rollout.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cohort: Option<cohort::TargetCohort>,
     },
-    /// A try ended without an answer.
+    /// An attempt ended without an answer.
     CallTryFailed {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// How.
+        /// How the attempt failed.
         failure: CallFailure,
-        /// Why, where the owner node said so.
+        /// Result code from the owner node, if it sent one.
         code: Option<code::ResultCode>,
-        /// Time since the try began, in microseconds.
+        /// Time since the start of the attempt, in microseconds.
         took_us: u64,
     },
-    /// The caller gets a target's answer.
+    /// The caller gets the answer of a target.
     CallAnswered {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
-        /// Time since it came, in microseconds.
+        /// Time since the request arrived, in microseconds.
         took_us: u64,
     },
     /// The caller gets a refusal.
     CallRefused {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// Why.
+        /// Reason for the refusal.
         code: code::ResultCode,
-        /// Whether it ran.
+        /// Whether the request was run.
         outcome: calls::CallOutcome,
-        /// When the caller was told to come back, in milliseconds; 0 where it was not.
+        /// Retry delay that the caller was given, in milliseconds; 0 if none.
         retry_after_ms: u32,
-        /// Time since it came, in microseconds.
+        /// Time since the request arrived, in microseconds.
         took_us: u64,
     },
-    /// A call was offered here for an own target.
+    /// A call was offered to this node for an own target.
     CallOffered {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// The target.
+        /// Name of the target.
         target: ids::TargetName,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// This node refused an offered call.
+    /// This node declined an offered call.
     OfferRefused {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// Why.
+        /// Reason for the refusal.
         code: code::ResultCode,
-        /// The limit that did it, where one did.
+        /// Limit that caused the refusal, if one did.
         limit: Option<String>,
-        /// Requests that ran at the target.
+        /// Number of requests running at the target.
         running: Option<u32>,
-        /// Requests that waited for it.
+        /// Number of requests queued for the target.
         queued: Option<u32>,
-        /// Requests that it was given at once.
+        /// Number of slots of the target.
         slots: Option<u32>,
-        /// Time that the offer was here, in microseconds.
+        /// Time that the offer was held on this node, in microseconds.
         held_us: u64,
     },
-    /// An offered call runs at an own target.
+    /// An offered call started to run at an own target.
     CallRun {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// The target.
+        /// Name of the target.
         target: ids::TargetName,
     },
-    /// A run ended with a whole answer.
+    /// A run ended with a complete answer.
     RunDone {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
         /// Time since the call was offered, in microseconds.
         took_us: u64,
     },
-    /// A run ended otherwise.
+    /// A run ended without a complete answer.
     RunFailed {
-        /// Its id.
+        /// Id of the request.
         request: ids::RequestId,
-        /// How.
+        /// How the run failed.
         failure: CallFailure,
     },
-    /// What the calls of a route used here in a second in which not all of them ended well.
+    /// Resources that the calls of a route used on this process within one second, if not all of
+    /// them succeeded.
     RouteUsage {
-        /// The route.
+        /// Route of the calls.
         route: ids::EntryName,
-        /// Its use.
+        /// Usage of the route.
         #[serde(flatten)]
         usage: RouteUsage,
     },
 }
 
-/// What calls of one route used at one process: the first fields as their callers' node, those from `offers`
-/// on as the node of their targets. Sums of times are in milliseconds.
+/// Resources that the calls of one route used on one process. The fields before `offers` are
+/// counted as the ingress node, those from `offers` on as the owner node. Times are sums in
+/// milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteUsage {
-    /// Calls whose callers got a target's answer.
+    /// Calls that were answered by a target.
     pub answered: u64,
     /// Calls that were refused.
     pub refused: u64,
-    /// Time from the arrival of the refused ones to their refusals.
+    /// Time from the arrival of refused calls to their refusal.
     pub refused_ms: u64,
     /// Offers to targets.
     pub tries: u64,
-    /// Those that the targets' nodes gave back.
+    /// Offers that the owner nodes declined.
     pub given_back: u64,
-    /// Time from these offers until this node knew.
+    /// Time from these offers until this node learnt of the result.
     pub given_back_ms: u64,
-    /// Offers that came.
+    /// Offers received.
     pub offers: u64,
-    /// Those that were given back.
+    /// Offers received that were declined.
     pub declined: u64,
-    /// Time that these were here.
+    /// Time that declined offers were held on this node.
     pub declined_ms: u64,
-    /// Runs that ended well within the target latency.
+    /// Successful runs within the target latency.
     pub in_time: u64,
-    /// Their slot time.
+    /// Slot time of these runs.
     pub in_time_ms: u64,
-    /// Runs that ended well later.
+    /// Successful runs beyond the target latency.
     pub late: u64,
-    /// Their slot time.
+    /// Slot time of these runs.
     pub late_ms: u64,
-    /// Runs that came to nothing.
+    /// Failed runs.
     pub failed: u64,
-    /// Their slot time.
+    /// Slot time of these runs.
     pub failed_ms: u64,
 }
 
 impl RouteUsage {
-    /// Whether calls were refused or runs came to nothing.
+    /// Returns whether calls were refused or runs failed.
     pub fn has_failures(&self) -> bool {
         self.refused + self.declined + self.failed > 0
     }
 }
 
 impl TimelineEvent {
-    /// The request that it is about, for an event of a call.
+    /// Returns the id of the request, for an event of a call.
     pub fn request(&self) -> Option<&ids::RequestId> {
         match self {
             Self::CallArrived { request, .. }
@@ -426,12 +431,12 @@
         }
     }
 
-    /// Whether it tells of calls: those are kept apart from what happens to the configuration.
+    /// Returns whether the event concerns calls. These are stored apart from configuration events.
     pub fn is_call_event(&self) -> bool {
         self.request().is_some() || matches!(self, Self::RouteUsage { .. })
     }
 
-    /// Whether an operator should look at it.
+    /// Returns whether the event deserves an operator's attention.
     pub fn needs_attention(&self) -> bool {
         matches!(
             self,
@@ -450,7 +455,7 @@
     }
 }
 
-/// Its fields as `name=value`, in order; the name of the kind goes before them.
+/// Formats the fields as `name=value` in order, starting with the kind.
 impl fmt::Display for TimelineEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let value = serde_json::to_value(self).expect("an event has only text keys");
