--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -277,8 +277,8 @@
     let is_leader = |replication: &replication::ReplicationState| replication.led_term().is_some();
     if !state.replication.as_ref().is_some_and(is_leader) || !replication::is_proven_current(state)
     {
-        // Another process is the leader. Evidence collected here may be incomplete, so it is
-        // discarded.
+        // Only a leader that is proven current evaluates rollouts. What this process has collected
+        // does not count as evidence.
         return state.rollout.evidence.clear();
     }
     let in_force = std::sync::Arc::clone(&state.dissemination.in_force);
--- a/crates/engine/src/routing/expected_latency.rs
+++ b/crates/engine/src/routing/expected_latency.rs
@@ -104,8 +104,8 @@
         .iter()
         .map(|index| (*index, weight(index)))
         .collect();
-    // Sampling fails only on weights that are not positive and finite, which these are; if it does
-    // fail, no target is sampled and the caller falls back to any target.
+    // The weights are positive and finite, so sampling does not fail. If it did, no target would be
+    // sampled, and the caller would fall back to any target.
     let sampled = weights.sample_weighted(&mut state.random, count, |(_, weight)| *weight);
     sampled.map_or_else(
         |_no_weight| Vec::new(),
@@ -166,7 +166,7 @@
             .unwrap_or(run_time_s);
         let slots = f64::from(view.usable_slots(target.slots));
         let is_own = target.instance == state.settings.identity.instance;
-        // The pressure includes the call that is being placed.
+        // Both alternatives include the call that is being placed.
         let in_use = if is_own {
             1.0 + f64::from(admission::in_use(state, &target.target))
         } else {
