--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -140,7 +140,7 @@
             }
             EngineInput::ReadRevision { answer } => {
                 let number = self.number_proposal(answer);
-                let event = replication::ReplicationEvent::Read(number);
+                let event = replication::ReplicationEvent::ReadRevision(number);
                 self.reduce(event::Event::Replication(event));
             }
             EngineInput::ChangeGroup { change, answer } => {
@@ -210,7 +210,7 @@
             dissemination::DisseminationEffect::InForce { state } => {
                 self.outlets.in_force.send_replace(state);
             }
-            dissemination::DisseminationEffect::Unsound { .. }
+            dissemination::DisseminationEffect::InvalidUpdate { .. }
             | dissemination::DisseminationEffect::ParentLost { .. } => {}
         }
     }
@@ -246,7 +246,7 @@
     fn run_call(&mut self, effect: calls::CallEffect) {
         let call = match &effect {
             calls::CallEffect::Attempt(call, _)
-            | calls::CallEffect::Pass(call)
+            | calls::CallEffect::ForwardAnswer(call)
             | calls::CallEffect::Replay(call, _)
             | calls::CallEffect::Refuse(call, _)
             | calls::CallEffect::Run(call, _) => *call,
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -95,7 +95,7 @@
     let Some(replication) = &state.replication else {
         return;
     };
-    if replication.led_term().is_none() {
+    if replication.leading_term().is_none() {
         if let Some(leader) = replication.live_leader(state)
             && !message.is_passed_on
         {
@@ -274,7 +274,8 @@
     window_span: Duration,
     output: &mut event::ReducerOutput,
 ) {
-    let is_leader = |replication: &replication::ReplicationState| replication.led_term().is_some();
+    let is_leader =
+        |replication: &replication::ReplicationState| replication.leading_term().is_some();
     if !state.replication.as_ref().is_some_and(is_leader) || !replication::is_proven_current(state)
     {
         // Only a leader that is proven current evaluates rollouts. What this process has collected
@@ -299,11 +300,11 @@
         known.proposed_at = Some(now);
         let elapsed = now.since(known.first_seen_at);
         let next = entry.in_phase(decision.phase, decision.share_permille, decision.reason);
-        let proposal = replication::RolloutMove {
+        let proposal = replication::RolloutTransition {
             entry: next.with_old_versions(known_versions(state, &entry.name)),
             elapsed,
         };
-        let proposal_event = replication::ReplicationEvent::Steer(Box::new(proposal));
+        let proposal_event = replication::ReplicationEvent::AdvanceRollout(Box::new(proposal));
         output.enqueue(event::Event::Replication(proposal_event));
     }
 }
