--- a/crates/engine/src/calls/transit.rs
+++ b/crates/engine/src/calls/transit.rs
@@ -65,18 +65,18 @@
         }
         self.min_offset_us = Some(
             self.min_offset_us
-                .map_or(offset_us, |baseline_us| baseline_us.min(offset_us)),
+                .map_or(offset_us, |min_offset_us| min_offset_us.min(offset_us)),
         );
         delay
     }
 
     fn record_outlier(&mut self, offset_us: i64, received: Duration) {
-        let (since, baseline_us) = self.outliers.unwrap_or((received, offset_us));
-        let baseline_us = baseline_us.min(offset_us);
-        self.outliers = Some((since, baseline_us));
+        let (since, min_offset_us) = self.outliers.unwrap_or((received, offset_us));
+        let min_offset_us = min_offset_us.min(offset_us);
+        self.outliers = Some((since, min_offset_us));
         if received.saturating_sub(since) >= CLOCK_STALL_TIME {
             *self = Self {
-                min_offset_us: Some(baseline_us),
+                min_offset_us: Some(min_offset_us),
                 window_start: received,
                 ..Self::default()
             };
--- a/crates/engine/tests/urgency.rs
+++ b/crates/engine/tests/urgency.rs
@@ -146,13 +146,13 @@
         node.call(calls::CallEvent::RunEnded { call, result })
     };
     for call in 0..100 {
-        let (route, took) = if call % 20 < 4 && call < 20 {
+        let (route, run_ms) = if call % 20 < 4 && call < 20 {
             ("scan", 1000)
         } else {
             ("lookup", 20)
         };
         offer(&mut node, call, route);
-        node.now = node.now + Duration::from_millis(took);
+        node.now = node.now + Duration::from_millis(run_ms);
         end(&mut node, call);
     }
     (200..202).for_each(|call| drop(offer(&mut node, call, "scan")));
@@ -187,13 +187,13 @@
         node.call(calls::CallEvent::Offered { call, offer })
     };
     for call in 0..20 {
-        let (route, took) = if call % 2 == 0 {
+        let (route, run_ms) = if call % 2 == 0 {
             ("report", 300)
         } else {
             ("lookup", 20)
         };
         offer(&mut node, call, route, 1500);
-        node.now = node.now + Duration::from_millis(took);
+        node.now = node.now + Duration::from_millis(run_ms);
         let (call, result) = (ids::CallId(call), calls::RunResult::Done { status: 200 });
         node.call(calls::CallEvent::RunEnded { call, result });
     }
@@ -408,14 +408,14 @@
         now = now + Duration::from_millis(15);
         usage.record_run(Duration::from_millis(30), Duration::from_millis(100), now);
     }
-    let turnover = Duration::from_millis(40);
+    let release_interval = Duration::from_millis(40);
     assert_eq!(
-        idle_usage.reserved(6, turnover, now),
+        idle_usage.reserved(6, release_interval, now),
         0,
         "no higher-priority call ran"
     );
     assert_eq!(
-        usage.reserved(6, turnover, now),
+        usage.reserved(6, release_interval, now),
         2,
         "two slots are in use on average"
     );
@@ -427,7 +427,7 @@
     );
     let later = now + Duration::from_secs(10);
     assert_eq!(
-        usage.reserved(6, turnover, later),
+        usage.reserved(6, release_interval, later),
         0,
         "the usage has decayed"
     );
