--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -143,7 +143,7 @@
             }
             EngineInput::ReadRevision { reply } => {
                 let number = self.register_proposal(reply);
-                let event = replication::ReplicationEvent::Read(number);
+                let event = replication::ReplicationEvent::ReadRevision(number);
                 self.reduce(event::Event::Replication(event));
             }
             EngineInput::ChangeGroup { change, reply } => {
@@ -215,7 +215,7 @@
             dissemination::DisseminationEffect::InForce { state } => {
                 self.sinks.in_force.send_replace(state);
             }
-            dissemination::DisseminationEffect::Unsound { .. }
+            dissemination::DisseminationEffect::InvalidUpdate { .. }
             | dissemination::DisseminationEffect::ParentLost { .. } => {}
         }
     }
@@ -251,7 +251,7 @@
     fn run_call(&mut self, effect: calls::CallEffect) {
         let call = match &effect {
             calls::CallEffect::Attempt(call, _)
-            | calls::CallEffect::Pass(call)
+            | calls::CallEffect::ForwardAnswer(call)
             | calls::CallEffect::Replay(call, _)
             | calls::CallEffect::Refuse(call, _)
             | calls::CallEffect::Run(call, _) => *call,
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -65,7 +65,7 @@
     let mut offer = wire::CallOffer::join(terms, sent.attempt);
     let (sent, received) = (Duration::from_millis(sent.sent_ms), trace::boot_time());
     let mut meter = transit.lock().expect("no holder of the lock panics");
-    offer.spend(meter.note(sent, received));
+    offer.spend(meter.record(sent, received));
     offer
 }
 
@@ -215,11 +215,11 @@
             }
             dialect::ResponseVerdict::WrongTarget => {
                 let misplaced = not_run(code::ResultCode::TargetMisplaced);
-                return self.refuse(calls::RunResult::Misplaced, misplaced);
+                return self.refuse(calls::RunResult::WrongTarget, misplaced);
             }
             dialect::ResponseVerdict::Invalid => {
                 let unsound = wire::CallRefusal::unknown(code::ResultCode::AnswerUnsound);
-                return self.refuse(calls::RunResult::Unsound, unsound);
+                return self.refuse(calls::RunResult::Malformed, unsound);
             }
         }
         let max_bytes = context.request_tunables.answer_hold_bytes;
@@ -231,7 +231,7 @@
                     self.plan.target
                 );
                 let truncated = wire::CallRefusal::unknown(code::ResultCode::TargetFailed);
-                return self.refuse(calls::RunResult::Cut, truncated);
+                return self.refuse(calls::RunResult::Truncated, truncated);
             }
             Err(response_buffer::BufferError::DeadlineExceeded) => {
                 let timed_out = wire::CallRefusal::unknown(code::ResultCode::DeadlineExceeded);
@@ -430,9 +430,9 @@
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         match &polled {
             Poll::Ready(None) => self.finish(),
-            Poll::Ready(Some(Err(_))) => self.guard.result = calls::RunResult::Cut,
+            Poll::Ready(Some(Err(_))) => self.guard.result = calls::RunResult::Truncated,
             Poll::Pending if self.deadline.as_mut().poll(cx).is_ready() => {
-                self.guard.result = calls::RunResult::Cut;
+                self.guard.result = calls::RunResult::Truncated;
                 return Poll::Ready(Some(Err(ResponseTimedOut.into())));
             }
             _ => {}
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -25,9 +25,9 @@
         tokio::spawn(async move {
             let result =
                 time::timeout(plan.timeout, request_status(plan.address, &plan.path)).await;
-            let is_good = matches!(result, Ok(Ok(status)) if status.is_success());
+            let is_healthy = matches!(result, Ok(Ok(status)) if status.is_success());
             let target = plan.target;
-            let event = health::HealthEvent::Probed { target, is_good };
+            let event = health::HealthEvent::Probed { target, is_healthy };
             engine.tell(event::Event::Health(event));
         });
     }
--- a/crates/engine/src/health/ejection.rs
+++ b/crates/engine/src/health/ejection.rs
@@ -24,7 +24,7 @@
 pub struct EjectionState {
     until: Option<time::MonotonicTime>,
     /// Whether that is because its node could not be connected to.
-    is_unreached: bool,
+    is_connect_failing: bool,
     in_row: u32,
     failed_in_row: u32,
 }
@@ -36,13 +36,13 @@
     }
 
     /// Whether it is back from an ejection and has not answered yet.
-    pub fn is_on_trial(&self, now: time::MonotonicTime) -> bool {
+    pub fn is_on_probation(&self, now: time::MonotonicTime) -> bool {
         self.until.is_some_and(|until| now >= until)
     }
 
     /// Whether calls are kept away because its node could not be connected to.
-    pub fn is_unreached(&self, now: time::MonotonicTime) -> bool {
-        self.is_unreached && self.is_ejected(now)
+    pub fn is_connect_failing(&self, now: time::MonotonicTime) -> bool {
+        self.is_connect_failing && self.is_ejected(now)
     }
 
     /// Time for which calls are still kept away.
@@ -51,10 +51,10 @@
     }
 
     /// Keeps calls away from a target whose node could not be connected to, for half of a first ejection.
-    pub fn note_unreached(&mut self, now: time::MonotonicTime, first: Duration) {
+    pub fn record_connect_failure(&mut self, now: time::MonotonicTime, first: Duration) {
         if !self.is_ejected(now) {
             self.until = Some(now + first / 2);
-            self.is_unreached = true;
+            self.is_connect_failing = true;
         }
     }
 
@@ -70,19 +70,19 @@
         }
         let doublings = self.in_row.min(MOST_DOUBLINGS);
         self.until = Some(now + first * (1 << doublings));
-        self.is_unreached = false;
+        self.is_connect_failing = false;
         self.in_row += 1;
     }
 
     /// Takes a failure that this process saw itself.
-    pub fn note_failure(
+    pub fn record_failure(
         &mut self,
         now: time::MonotonicTime,
         first: Duration,
         tunables: &settings::HealthTunables,
     ) {
         self.failed_in_row += 1;
-        let is_trial = self.is_on_trial(now);
+        let is_trial = self.is_on_probation(now);
         if is_trial || u64::from(self.failed_in_row) >= tunables.failed_in_row {
             self.eject(now, first);
         }
@@ -96,7 +96,7 @@
     spill: bool,
 ) -> IndexSet<usize> {
     let is_permitted = |target: &&table::ReadyTarget| {
-        target.is_reachable && (spill || target.distance == table::TargetDistance::SameCentre)
+        target.is_reachable && (spill || target.distance == table::TargetDistance::SameDataCentre)
     };
     let health = |target: &table::ReadyTarget| {
         let view = state.routing.views.get(&target.target);
@@ -105,7 +105,7 @@
     let targets = state.routing.table.of_service(service).iter().enumerate();
     let permitted = targets.filter(|(_, target)| is_permitted(target));
     let (unreached, reached): (Vec<_>, Vec<_>) =
-        permitted.partition(|(_, target)| health(target).is_unreached(state.now));
+        permitted.partition(|(_, target)| health(target).is_connect_failing(state.now));
     let place = |(place, _): &(usize, &table::ReadyTarget)| *place;
     let ejected = reached
         .iter()
@@ -119,9 +119,12 @@
 
 /// Shortest time until a target of a service that could not be connected to is tried again; `None` when
 /// there is no such one.
-pub fn unreached_for(state: &reducer::EngineState, service: &ids::EntryName) -> Option<Duration> {
+pub fn connect_retry_delay(
+    state: &reducer::EngineState,
+    service: &ids::EntryName,
+) -> Option<Duration> {
     let targets = state.routing.table.of_service(service).iter();
     let views = targets.filter_map(|target| state.routing.views.get(&target.target));
-    let unreached = views.filter(|view| view.health.is_unreached(state.now));
+    let unreached = views.filter(|view| view.health.is_connect_failing(state.now));
     unreached.map(|view| view.health.remaining(state.now)).min()
 }
