--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The process around the reducer: listeners, links, timers and the disk.
+//! The I/O around the reducer: listeners, links to other processes, timers and disk writers.
 //!
-//! Nothing here decides. Each part turns what happens outside into an event, or an effect into
-//! what happens outside; the reducer in `hazeltiller-engine` decides in between.
+//! The protocols are decided in `hazeltiller-engine`, whose reducer is a pure function of events.
+//! The modules here turn I/O into events for the reducer and carry out the effects that it returns.
 
 pub mod byte_counts;
 pub mod callers;
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file of a process.
 //!
-//! A file is checked whole against one table before any of it is used, so that an operator sees
-//! every fault at once and a process never starts on half-understood settings.
+//! The whole file is validated against a table of keys before any of it is used, so that operators
+//! see all faults at once and no process starts with partly invalid settings.
 
 pub mod check;
 pub mod fault;
@@ -15,24 +15,25 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, de::Error};
 
-/// Worker threads that can be set.
+/// Allowed numbers of worker threads.
 pub const WORKER_THREADS: RangeInclusive<u64> = 1..=64;
-/// Worker threads where none are set. A process has one small slot beside its target: with a
-/// thread for each core its calls spend their time waking threads (docs/design/threads.md).
+/// Default number of worker threads. A process gets a small share of a machine, next to its target:
+/// with a thread for each core, calls would spend their time on waking threads
+/// (docs/design/threads.md).
 pub const DEFAULT_WORKER_THREADS: usize = 2;
 
-/// One of how many requests that ended well is logged where the settings do not say.
-pub const DEFAULT_SAMPLE: u64 = 64;
+/// Default sampling of successful requests: one of this many is logged.
+pub const DEFAULT_SAMPLE_INTERVAL: u64 = 64;
 
-/// The project's own interface.
-pub const OWN_INTERFACE: &str = "own";
-/// The interface of the platform that the program was built for.
+/// Name of the native interface.
+pub const NATIVE_INTERFACE: &str = "own";
+/// Name of the interface of the platform that the program was built for.
 pub const PLATFORM_INTERFACE: &str = "platform";
-/// Interfaces that can be chosen.
-pub const INTERFACES: [&str; 2] = [OWN_INTERFACE, PLATFORM_INTERFACE];
+/// Names of all interfaces.
+pub const INTERFACES: [&str; 2] = [NATIVE_INTERFACE, PLATFORM_INTERFACE];
 
 fn default_interface() -> String {
-    OWN_INTERFACE.into()
+    NATIVE_INTERFACE.into()
 }
 
 fn default_worker_threads() -> usize {
@@ -43,50 +44,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessRole {
-    /// Carries calls and owns targets.
+    /// Proxies calls and owns targets.
     Node,
-    /// Keeps the catalogue's log.
+    /// Replicates the log of the catalogue.
     Control,
 }
 
-/// Addresses that the process listens on; port 0 has the system pick one.
+/// Addresses that the process listens on. With port 0 the system picks a free port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// For targets.
+    /// Listener for targets.
     pub target: SocketAddr,
-    /// For other processes of the system.
+    /// Listener for other processes of the system.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Listener for operators.
     pub operators: SocketAddr,
-    /// For whoever watches the instance; absent: nobody is told.
+    /// Listener for readiness checks; absent if there is none.
     pub ready: Option<SocketAddr>,
 }
 
 impl Default for ListenSettings {
     fn default() -> Self {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
-            callers: any,
-            target: any,
-            peers: any,
-            operators: any,
+            callers: loopback,
+            target: loopback,
+            peers: loopback,
+            operators: loopback,
             ready: None,
         }
     }
 }
 
-/// Logging.
+/// Settings of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least important level that is written.
+    /// Least severe level that is logged.
     pub level: String,
-    /// File that is appended to; absent: standard output.
+    /// File to append to; standard output if absent.
     pub file: Option<PathBuf>,
-    /// One of so many requests that ended well is logged, chosen by its id; 0: none.
+    /// One of this many successful requests is logged, sampled by request id; 0 logs none.
     pub sample: u64,
 }
 
@@ -95,7 +96,7 @@
         Self {
             level: "info".into(),
             file: None,
-            sample: DEFAULT_SAMPLE,
+            sample: DEFAULT_SAMPLE_INTERVAL,
         }
     }
 }
@@ -104,36 +105,38 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessSettings {
-    /// Unique name.
+    /// Name of the instance, unique in the fleet.
     pub instance: ids::InstanceName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: ids::DataCentreName,
-    /// Its region.
+    /// Region of the data centre.
     pub region: ids::RegionName,
-    /// Its roles.
+    /// Roles of the process.
     pub roles: Vec<ProcessRole>,
-    /// Its listeners.
+    /// Addresses of its listeners.
     #[serde(default)]
     pub listen: ListenSettings,
-    /// Peers address that others reach it at; absent: the one it listens on.
+    /// Address at which other processes reach `listen.peers`; the listening address if absent.
     #[serde(default)]
     pub advertise_peers: Option<SocketAddr>,
-    /// Peers addresses of control instances.
+    /// Peers addresses of the control instances.
     #[serde(default)]
     pub control: Vec<SocketAddr>,
-    /// Port of the controls' peers listeners, where `control` names others of their listeners.
+    /// Port of the controls' peers listeners, for files in which the addresses under `control` are
+    /// those of other listeners.
     #[serde(default)]
     pub control_port: Option<u16>,
-    /// Whether the instances under `control` become the voters of a new group.
+    /// Whether the instances under `control` form a new group as its voters.
     #[serde(default)]
     pub bootstrap: bool,
-    /// How callers, targets and operators speak; one of [`INTERFACES`].
+    /// Interface that callers, targets and operators use; one of [`INTERFACES`].
     #[serde(default = "default_interface")]
     pub interface: String,
-    /// Service whose target sits beside the node.
+    /// Service of the target on the same machine as the node; its calls are attributed to this
+    /// service.
     #[serde(default)]
     pub caller_service: Option<ids::EntryName>,
-    /// Folder of a control's durable state.
+    /// Folder of the durable state of a control.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
     /// File with the group key.
@@ -142,56 +145,57 @@
     /// File with the first administrator's token.
     #[serde(default)]
     pub operators_token_file: Option<PathBuf>,
-    /// Threads that carry calls and messages.
+    /// Number of threads that process calls and messages.
     #[serde(default = "default_worker_threads")]
     pub worker_threads: usize,
-    /// Logging.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
-    /// What the operators of the installation grant and ask.
+    /// Limits and requirements of the installation.
     #[serde(default)]
     pub installation: installation::InstallationSettings,
-    /// Tunables of the reducer, by group; see docs/SETTINGS.md. Those that are not given follow from
-    /// `installation` or have their defaults.
+    /// Tunables of the reducer by group, see docs/SETTINGS.md. A tunable that the file doesn't set
+    /// is derived from `installation` or has its default.
     #[serde(skip)]
     pub tunables: engine_settings::EngineTunables,
-    /// Tunables that the file gives.
+    /// Tunables that the file sets.
     #[serde(default, rename = "tunables")]
     pub(crate) given_tunables: TunableMap,
 }
 
 impl ProcessSettings {
-    /// Reads settings from a file's text, or reports every fault in it.
+    /// Parses the text of a settings file, or returns all its faults.
     pub fn parse(text: &str) -> Result<Self, Vec<fault::SettingsFault>> {
         let document = jsonc::parse_jsonc(text)
-            .map_err(|error| vec![fault::SettingsFault::of_text(error.to_string())])?;
+            .map_err(|error| vec![fault::SettingsFault::of_file(error.to_string())])?;
         let faults = check::check_document(&document);
         if !faults.is_empty() {
             return Err(faults);
         }
-        let read = serde_json::from_value(document);
-        let read = read.and_then(|mut settings: Self| {
+        let parsed = serde_json::from_value(document);
+        let parsed = parsed.and_then(|mut settings: Self| {
             settings.tunables = settings.derive_tunables()?;
             Ok(settings)
         });
-        read.map_err(|error| vec![fault::SettingsFault::of_text(error.to_string())])
+        parsed.map_err(|error| vec![fault::SettingsFault::of_file(error.to_string())])
     }
 
-    /// Sets what follows from the installation, then what the file gives; names and ranges were checked.
+    /// Derives tunables from the installation, then applies those that the file sets. Names and
+    /// ranges have been checked before.
     fn derive_tunables(&self) -> Result<engine_settings::EngineTunables, serde_json::Error> {
         let mut tunables = engine_settings::EngineTunables::default();
         self.installation.apply(&mut tunables);
         for (group, names) in &self.given_tunables {
             for (name, value) in names {
-                let place = tunables.place(group, name);
+                let tunable = tunables.place(group, name);
                 let unknown = || serde_json::Error::custom(format!("no {group}.{name}"));
-                *place.ok_or_else(unknown)? = *value;
+                *tunable.ok_or_else(unknown)? = *value;
             }
         }
         Ok(tunables)
     }
 
-    /// Peers addresses of the controls to ask.
+    /// Returns the peers addresses at which the controls are contacted.
     pub fn contacts(&self) -> Vec<SocketAddr> {
         let at_port = |address: &SocketAddr| {
             let port = self.control_port.unwrap_or(address.port());
@@ -200,7 +204,7 @@
         self.control.iter().map(at_port).collect()
     }
 
-    /// Whether it has a role.
+    /// Returns whether the process has a role.
     pub fn has_role(&self, role: ProcessRole) -> bool {
         self.roles.contains(&role)
     }
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks a settings file against the table of keys.
+//! Validates a settings file against the table of keys.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 
 use super::{fault, schema};
 
-/// Smallest likeness, from 0 to 1, at which a known key is offered for an unknown one.
-const LEAST_LIKENESS: f64 = 0.8;
+/// Smallest Jaro-Winkler similarity at which a known key is suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.8;
 
-/// Every fault of a document.
+/// Returns all faults of a document.
 pub fn check_document(document: &Value) -> Vec<fault::SettingsFault> {
     if !document.is_object() {
-        return vec![fault::SettingsFault::of_text(
-            "the file must hold one object".into(),
+        return vec![fault::SettingsFault::of_file(
+            "the file must contain one object".into(),
         )];
     }
     let rows = schema::rows();
@@ -22,7 +22,7 @@
     for row in &rows {
         check_row(document, row, &mut faults);
     }
-    check_unknown(document, "", &rows, &mut faults);
+    check_unknown_keys(document, "", &rows, &mut faults);
     if faults.is_empty() {
         check_roles(document, &mut faults);
     }
@@ -37,14 +37,14 @@
             faults.push(new_fault(
                 &row.path,
                 None,
-                format!("must be given: {allowed}"),
+                format!("is required; expected {allowed}"),
             ));
         }
-        Some(value) if !fits(&row.kind, value) => {
+        Some(value) if !is_valid(&row.kind, value) => {
             faults.push(new_fault(
                 &row.path,
                 Some(value),
-                format!("{allowed} is allowed"),
+                format!("expected {allowed}"),
             ));
         }
         _ => {}
@@ -56,7 +56,7 @@
         .try_fold(document, |value, key| value.get(key))
 }
 
-fn fits(kind: &schema::SettingKind, value: &Value) -> bool {
+fn is_valid(kind: &schema::SettingKind, value: &Value) -> bool {
     let text = value.as_str();
     let is_address = |value: &Value| {
         value
@@ -81,9 +81,9 @@
             .is_some_and(|list| !list.is_empty() && list.iter().all(is_role)),
         schema::SettingKind::Path => text.is_some_and(|text| !text.is_empty()),
         schema::SettingKind::Level => text.is_some_and(|text| schema::LOG_LEVELS.contains(&text)),
-        schema::SettingKind::Word(words) => text.is_some_and(|text| words.contains(&text)),
-        schema::SettingKind::Switch => value.is_boolean(),
-        schema::SettingKind::Number(range) => {
+        schema::SettingKind::OneOf(values) => text.is_some_and(|text| values.contains(&text)),
+        schema::SettingKind::Boolean => value.is_boolean(),
+        schema::SettingKind::Integer(range) => {
             value.as_u64().is_some_and(|number| range.contains(&number))
         }
         schema::SettingKind::Decimal(range) => {
@@ -92,63 +92,65 @@
     }
 }
 
-/// Walks the document and reports each key that is neither in the table nor on the way to one.
-fn check_unknown(
+/// Reports each key of an object, and of the objects in it, that is neither in the table nor a
+/// prefix of a key in it.
+fn check_unknown_keys(
     value: &Value,
-    place: &str,
+    parent: &str,
     rows: &[schema::SettingRow],
     faults: &mut Vec<fault::SettingsFault>,
 ) {
     let Some(object) = value.as_object() else {
-        let message = "an object is allowed".into();
-        return faults.push(new_fault(place, Some(value), message));
+        let message = "expected an object".into();
+        return faults.push(new_fault(parent, Some(value), message));
     };
     for (key, value) in object {
-        let path = if place.is_empty() {
+        let path = if parent.is_empty() {
             key.clone()
         } else {
-            format!("{place}.{key}")
+            format!("{parent}.{key}")
         };
-        let inner = format!("{path}.");
-        if rows.iter().any(|row| row.path.starts_with(&inner)) {
-            check_unknown(value, &path, rows, faults);
+        let prefix = format!("{path}.");
+        if rows.iter().any(|row| row.path.starts_with(&prefix)) {
+            check_unknown_keys(value, &path, rows, faults);
         } else if !rows.iter().any(|row| row.path == path) {
-            let mut unknown = new_fault(&path, None, "there is no such key".into());
-            unknown.near = nearest(place, key, rows);
+            let mut unknown = new_fault(&path, None, "unknown key".into());
+            unknown.near = closest_key(parent, key, rows);
             faults.push(unknown);
         }
     }
 }
 
-/// The known key at the same place that is most like an unknown one.
-fn nearest(place: &str, key: &str, rows: &[schema::SettingRow]) -> Option<String> {
-    let inner = if place.is_empty() {
+/// Returns the known key of the same object that is most similar to an unknown one, if any is
+/// similar enough.
+fn closest_key(parent: &str, key: &str, rows: &[schema::SettingRow]) -> Option<String> {
+    let prefix = if parent.is_empty() {
         String::new()
     } else {
-        format!("{place}.")
+        format!("{parent}.")
     };
     let known = rows
         .iter()
-        .filter_map(|row| row.path.strip_prefix(&inner)?.split('.').next());
-    let likeness = |known: &str| strsim::jaro_winkler(known, key);
-    let best = known.max_by(|one, other| likeness(one).total_cmp(&likeness(other)))?;
-    (likeness(best) >= LEAST_LIKENESS).then(|| best.into())
+        .filter_map(|row| row.path.strip_prefix(&prefix)?.split('.').next());
+    let similarity = |known: &str| strsim::jaro_winkler(known, key);
+    let best = known.max_by(|one, other| similarity(one).total_cmp(&similarity(other)))?;
+    (similarity(best) >= MIN_SIMILARITY).then(|| best.into())
 }
 
 fn check_roles(document: &Value, faults: &mut Vec<fault::SettingsFault>) {
     let has_role = |role: &str| {
         document["roles"]
             .as_array()
-            .is_some_and(|roles| roles.iter().any(|it| it == role))
+            .is_some_and(|roles| roles.iter().any(|given| given == role))
     };
     let is_given = |path: &str| lookup(document, path).is_some_and(|value| !value.is_null());
     if has_role("control") && !is_given("data_folder") {
-        let message = "the role control needs a folder for its durable state".into();
+        let message = "the role control requires a folder for its durable state".into();
         faults.push(new_fault("data_folder", None, message));
     }
     let contacts = document["control"].as_array().map_or(0, Vec::len);
     if !has_role("control") && contacts == 0 {
-        let message = "the role node needs the peers address of at least one control".into();
+        let message = "the role node requires the peers address of at least one control".into();
         faults.push(new_fault("control", None, message));
     }
 }
--- a/crates/daemon/src/settings/fault.rs
+++ b/crates/daemon/src/settings/fault.rs
@@ -7,21 +7,21 @@
 /// One fault of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Its code.
+    /// Result code.
     pub code: code::ResultCode,
-    /// Path of the key, with dots; empty where the whole file is at fault.
+    /// Dotted path of the key; empty if the fault concerns the whole file.
     pub path: String,
-    /// What stands there, as JSON; empty where nothing does.
+    /// Value in the file, as JSON; empty if there is none.
     pub value: String,
-    /// What is allowed there, or what is wrong with the file.
+    /// What is expected there, or what is wrong with the key or file.
     pub allowed: String,
-    /// A known key that the given one is probably meant to be.
+    /// Known key that was probably meant instead of an unknown one.
     pub near: Option<String>,
 }
 
 impl SettingsFault {
-    /// A fault of the text as a whole, such as one of its syntax.
-    pub fn of_text(message: String) -> Self {
+    /// Returns a fault of the whole file, such as a syntax error.
+    pub fn of_file(message: String) -> Self {
         Self {
             code: code::ResultCode::SettingsInvalid,
             path: String::new(),
@@ -31,11 +31,11 @@
         }
     }
 
-    /// The file cannot be read.
+    /// Returns the fault of a file that can't be read.
     pub fn unreadable(message: String) -> Self {
         Self {
             code: code::ResultCode::SettingsUnreadable,
-            ..Self::of_text(message)
+            ..Self::of_file(message)
         }
     }
 }
@@ -47,11 +47,11 @@
             write!(f, "{}: ", self.path)?;
         }
         if !self.value.is_empty() {
-            write!(f, "{} is given; ", self.value)?;
+            write!(f, "found {}; ", self.value)?;
         }
         f.write_str(&self.allowed)?;
         match &self.near {
-            Some(near) => write!(f, "; is \"{near}\" meant?"),
+            Some(near) => write!(f, "; did you mean \"{near}\"?"),
             None => Ok(()),
         }
     }
--- a/crates/daemon/src/settings/installation.rs
+++ b/crates/daemon/src/settings/installation.rs
@@ -1,72 +1,77 @@
-//! What the operators of an installation grant and ask, and the tunables that follow from it.
+//! Limits and requirements of an installation, and the tunables derived from them.
 //!
-//! Figures such as the time between a request to stop and the kill are the installation's, not the
-//! system's. They are set under their own names, and every tunable that depends on one is derived here;
-//! a tunable that the file sets itself goes first, and one whose figure is missing keeps its default.
+//! Figures such as the time between the request to stop a process and its kill are given by the
+//! environment that the system is installed in. They have settings of their own, from which the
+//! tunables that depend on them are derived here. A tunable that the file sets itself takes
+//! precedence; one whose figure is not given keeps its default.
 
 use std::ops::RangeInclusive;
 
 use hazeltiller_engine::settings as engine_settings;
 use serde::Deserialize;
 
-/// Seconds between a request to stop and the kill that can be set.
-pub const GRACE_S: RangeInclusive<f64> = 1.0..=3600.0;
-/// Second tries for each request that can be granted.
-pub const RETRY_RATIO: RangeInclusive<f64> = 0.0..=1.0;
-/// Controls whose loss at once can be asked to be borne.
-pub const LOST_CONTROLS: RangeInclusive<u64> = 0..=3;
+/// Allowed seconds between the request to stop a process and its kill.
+pub const GRACE_RANGE_S: RangeInclusive<f64> = 1.0..=3600.0;
+/// Allowed ratios of retries to requests.
+pub const RETRY_RATIO_RANGE: RangeInclusive<f64> = 0.0..=1.0;
+/// Allowed numbers of controls whose simultaneous loss is tolerated.
+pub const LOST_CONTROLS_RANGE: RangeInclusive<u64> = 0..=3;
 
-/// Shares of a service's calls that a bad version may have had that can be set.
-pub const CANARY_SHARE: RangeInclusive<f64> = 0.002..=1.0;
+/// Allowed shares of a service's calls that a bad version may receive.
+pub const CANARY_SHARE_RANGE: RangeInclusive<f64> = 0.002..=1.0;
 
-/// Time for which a stopping node goes on taking requests: whoever watches readiness asks each second, and
-/// sends callers elsewhere after two misses.
-const READINESS_MS: u64 = 2500;
-/// Largest part of the grace that is spent on that.
-const LARGEST_LEAVE_PART: f64 = 0.5;
-/// Time before the kill by which a process has ended.
-const EXIT_MS: u64 = 300;
-/// Part of the second tries granted that calls may spend: the rest is for what these tries call in turn.
-const SPENT_PART: f64 = 0.5;
-/// Part of a bad version's share that its trial may take: the rest is for what turns bad during the move.
-const TRIAL_PART: f64 = 0.6;
+/// Time for which a stopping node goes on accepting requests: load balancers check readiness every
+/// second and take a node out of rotation after two failed checks.
+const READINESS_LAG_MS: u64 = 2500;
+/// Largest fraction of the grace period for which a stopping node goes on accepting requests.
+const MAX_LEAVE_FRACTION: f64 = 0.5;
+/// Time before the kill at which a process should have exited.
+const EXIT_MARGIN_MS: u64 = 300;
+/// Fraction of the granted retries that goes into the retry budget. The rest covers the nested
+/// calls that retried requests make in turn.
+const RETRY_BUDGET_FRACTION: f64 = 0.5;
+/// Fraction of a bad version's allowed share that the trial phase of a roll-out may use. The rest
+/// covers versions that turn out bad while traffic is being shifted to them.
+const TRIAL_FRACTION: f64 = 0.6;
 const PERMILLE: f64 = 1000.0;
-/// Time in which peers learn by gossip that a node leaves: some rounds of rumours.
-const TELL_MS: u64 = 700;
+/// Time in which all peers learn that a node is leaving: a few rounds of gossip.
+const LEAVE_GOSSIP_MS: u64 = 700;
 
-/// What is known of the installation.
+/// Limits and requirements of an installation, as far as they are known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct InstallationSettings {
-    /// Seconds between a request to stop and the kill.
+    /// Seconds between the request to stop a process and its kill.
     pub grace_s: Option<f64>,
-    /// Second tries that the services grant the whole fleet for each request.
+    /// Retries per request that the services grant the fleet as a whole.
     pub retry_ratio: Option<f64>,
-    /// Controls that may be lost at once.
+    /// Number of controls whose simultaneous loss is tolerated.
     pub lost_controls: Option<u64>,
-    /// Largest share of a service's calls that a bad version may have had by the limit of its roll-out.
+    /// Largest share of a service's calls that a bad version may have received by the time limit of
+    /// its roll-out.
     pub canary_share: Option<f64>,
 }
 
 impl InstallationSettings {
-    /// Sets the tunables that follow.
+    /// Sets the tunables that are derived from the figures that are given.
     pub fn apply(&self, tunables: &mut engine_settings::EngineTunables) {
         if let Some(grace_s) = self.grace_s {
             let grace_ms = grace_s * 1e3;
-            let leave_ms = READINESS_MS.min((grace_ms * LARGEST_LEAVE_PART) as u64);
+            let leave_ms = READINESS_LAG_MS.min((grace_ms * MAX_LEAVE_FRACTION) as u64);
             let requests = &mut tunables.requests;
             requests.leave_ms = leave_ms;
-            requests.tell_ms = TELL_MS;
-            requests.finish_ms = (grace_ms as u64).saturating_sub(leave_ms + EXIT_MS);
+            requests.tell_ms = LEAVE_GOSSIP_MS;
+            requests.finish_ms = (grace_ms as u64).saturating_sub(leave_ms + EXIT_MARGIN_MS);
         }
         if let Some(ratio) = self.retry_ratio {
-            tunables.retry.budget_percent = (ratio * SPENT_PART * engine_settings::PERCENT) as u64;
+            tunables.retry.budget_percent =
+                (ratio * RETRY_BUDGET_FRACTION * engine_settings::PERCENT) as u64;
         }
         if let Some(lost) = self.lost_controls {
             tunables.replication.voters = 2 * lost + 1;
         }
         if let Some(share) = self.canary_share {
-            let trial = (share * TRIAL_PART * PERMILLE) as u64;
+            let trial = (share * TRIAL_FRACTION * PERMILLE) as u64;
             tunables.rollout.trial_permille = trial.max(1);
         }
     }
--- a/crates/daemon/src/settings/schema.rs
+++ b/crates/daemon/src/settings/schema.rs
@@ -1,4 +1,4 @@
-//! The table of every key of a settings file; docs/SETTINGS.md is printed from it.
+//! The table of all keys of a settings file, from which docs/SETTINGS.md is generated.
 
 use std::ops::RangeInclusive;
 
@@ -6,7 +6,7 @@
 
 use super::installation;
 
-/// What a key takes.
+/// Type of the values of a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SettingKind {
     /// A name of letters, digits, `-`, `_`, `.` or `:`.
@@ -15,63 +15,65 @@
     Address,
     /// A list of addresses.
     AddressList,
-    /// A list of roles, at least one.
+    /// A non-empty list of roles.
     RoleList,
-    /// A path of a file or folder.
+    /// The path of a file or folder.
     Path,
     /// A log level.
     Level,
-    /// One of some words.
-    Word(&'static [&'static str]),
-    /// Yes or no.
-    Switch,
-    /// A whole number within a range.
-    Number(RangeInclusive<u64>),
+    /// One of the given strings.
+    OneOf(&'static [&'static str]),
+    /// `true` or `false`.
+    Boolean,
+    /// An integer within a range.
+    Integer(RangeInclusive<u64>),
     /// A number within a range.
     Decimal(RangeInclusive<f64>),
 }
 
-/// Log levels, from the least to the most talkative.
+/// Log levels by increasing verbosity.
 pub const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 /// Roles of a process.
 pub const ROLES: [&str; 2] = ["node", "control"];
 
 impl SettingKind {
-    /// What is allowed, as a clause.
+    /// Describes the allowed values.
     pub fn allowed(&self) -> String {
         match self {
             Self::Name => "a name of 1 to 96 letters, digits, '-', '_', '.' or ':'".into(),
-            Self::Address => "an address \"IP:PORT\"; port 0 has the system pick one".into(),
+            Self::Address => {
+                "an address \"IP:PORT\"; with port 0 the system picks a free one".into()
+            }
             Self::AddressList => "a list of addresses \"IP:PORT\"".into(),
-            Self::RoleList => format!("a list with at least one of {}", ROLES.join(", ")),
+            Self::RoleList => format!("a non-empty list of {}", ROLES.join(", ")),
             Self::Path => "a path".into(),
             Self::Level => format!("one of {}", LOG_LEVELS.join(", ")),
-            Self::Word(words) => format!("one of {}", words.join(", ")),
-            Self::Switch => "true or false".into(),
-            Self::Number(range) => {
-                format!("a whole number from {} to {}", range.start(), range.end())
+            Self::OneOf(values) => format!("one of {}", values.join(", ")),
+            Self::Boolean => "true or false".into(),
+            Self::Integer(range) => {
+                format!("an integer from {} to {}", range.start(), range.end())
             }
             Self::Decimal(range) => format!("a number from {} to {}", range.start(), range.end()),
         }
     }
 }
 
-/// One key.
+/// A key of the settings file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SettingRow {
-    /// Its path, with dots.
+    /// Dotted path.
     pub path: String,
-    /// What it takes.
+    /// Type of its values.
     pub kind: SettingKind,
-    /// Whether it must be given.
+    /// Whether the file must contain it.
     pub is_required: bool,
-    /// What holds where it is not given.
+    /// Printed default.
     pub default: String,
-    /// What it is.
+    /// Description.
     pub doc: &'static str,
 }
 
-/// Every key, in the order in which they are documented.
+/// Returns all keys in the order of the documentation.
 pub fn rows() -> Vec<SettingRow> {
     let mut rows = process_rows();
     rows.extend(
@@ -125,35 +127,35 @@
             SettingKind::Address,
             false,
             ANY_PORT,
-            "Where callers connect.",
+            "Address of the listener for callers.",
         ),
         row(
             "listen.target",
             SettingKind::Address,
             false,
             ANY_PORT,
-            "Where targets announce.",
+            "Address of the listener for targets, which announce themselves there.",
         ),
         row(
             "listen.peers",
             SettingKind::Address,
             false,
             ANY_PORT,
-            "Where other instances connect.",
+            "Address of the listener for other instances.",
         ),
         row(
             "listen.operators",
             SettingKind::Address,
             false,
             ANY_PORT,
-            "Where operators connect.",
+            "Address of the listener for operators.",
         ),
         row(
             "listen.ready",
             SettingKind::Address,
             false,
             "none",
-            "Where a node tells whether it is ready for callers, on every path.",
+            "Address at which a node answers readiness checks, on every path.",
         ),
         row(
             "advertise_peers",
@@ -167,112 +169,112 @@
             SettingKind::AddressList,
             false,
             "none",
-            "Peers addresses of control instances: a node's first contacts, a new group's voters.",
+            "Peers addresses of control instances: the first contacts of a node and the voters of a new group.",
         ),
         row(
             "control_port",
-            SettingKind::Number(1..=65_535),
+            SettingKind::Integer(1..=65_535),
             false,
             "none",
-            "Port of the controls' peers listeners, where the addresses under control name others of their listeners.",
+            "Port of the controls' peers listeners, if the addresses under control are those of other listeners.",
         ),
         row(
             "bootstrap",
-            SettingKind::Switch,
+            SettingKind::Boolean,
             false,
             "false",
-            "Make the instances under control the voters of a new group; without effect on a folder with state.",
+            "Form a new group with the instances under control as its voters; ignored if the data folder already contains state.",
         ),
         row(
             "interface",
-            SettingKind::Word(&super::INTERFACES),
+            SettingKind::OneOf(&super::INTERFACES),
             false,
             "own",
-            "How callers, targets and operators speak: the project's own way, or that of the platform that the program was built for.",
+            "Interface that callers, targets and operators use: the native one, or that of the platform that the program was built for.",
         ),
         row(
             "caller_service",
             SettingKind::Name,
             false,
             "none",
-            "Service whose target sits beside the node: what it and its neighbours send counts as sent by it.",
+            "Service of the target on the same machine as the node; calls that originate on this machine are attributed to it.",
         ),
         row(
             "data_folder",
             SettingKind::Path,
             false,
             "none",
-            "Folder of a control's durable state; the control role needs it.",
+            "Folder of the durable state of a control; required for the control role.",
         ),
         row(
             "group_key_file",
             SettingKind::Path,
             false,
             "none",
-            "File with the key that every instance of the group shares.",
+            "File with the key that all instances of the group share.",
         ),
         row(
             "operators_token_file",
             SettingKind::Path,
             false,
             "none",
-            "File with the first administrator's token; without it changes come from loopback only.",
+            "File with the token of the first administrator; without it changes are accepted only from loopback addresses.",
         ),
         row(
             "worker_threads",
-            SettingKind::Number(super::WORKER_THREADS),
+            SettingKind::Integer(super::WORKER_THREADS),
             false,
             &super::DEFAULT_WORKER_THREADS.to_string(),
-            "Threads that carry calls and messages; more of them wake each other more often.",
+            "Number of threads that process calls and messages; more threads wake each other more often.",
         ),
         row(
             "installation.grace_s",
-            SettingKind::Decimal(installation::GRACE_S),
+            SettingKind::Decimal(installation::GRACE_RANGE_S),
             false,
             "unknown",
-            "Seconds between a request to stop and the kill; requests.leave_ms, tell_ms and finish_ms follow from it.",
+            "Seconds between the request to stop a process and its kill; requests.leave_ms, tell_ms and finish_ms are derived from it.",
         ),
         row(
             "installation.retry_ratio",
-            SettingKind::Decimal(installation::RETRY_RATIO),
+            SettingKind::Decimal(installation::RETRY_RATIO_RANGE),
             false,
             "unknown",
-            "Second tries that the services grant the whole fleet for each request; retry.budget_percent follows from it.",
+            "Retries per request that the services grant the fleet as a whole; retry.budget_percent is derived from it.",
         ),
         row(
             "installation.lost_controls",
-            SettingKind::Number(installation::LOST_CONTROLS),
+            SettingKind::Integer(installation::LOST_CONTROLS_RANGE),
             false,
             "unknown",
-            "Controls that may be lost at once; replication.voters follows from it.",
+            "Number of controls whose simultaneous loss is tolerated; replication.voters is derived from it.",
         ),
         row(
             "installation.canary_share",
-            SettingKind::Decimal(installation::CANARY_SHARE),
+            SettingKind::Decimal(installation::CANARY_SHARE_RANGE),
             false,
             "unknown",
-            "Largest share of a service's calls that a bad version may have had by the limit of its roll-out; rollout.trial_permille follows from it.",
+            "Largest share of a service's calls that a bad version may have received by the time limit of its roll-out; rollout.trial_permille is derived from it.",
         ),
         row(
             "log.level",
             SettingKind::Level,
             false,
             "info",
-            "Least important level that is logged.",
+            "Least severe level that is logged.",
         ),
         row(
             "log.file",
             SettingKind::Path,
             false,
             "standard output",
-            "File that the log is added to.",
+            "File that the log is appended to.",
         ),
         row(
             "log.sample",
-            SettingKind::Number(0..=1_000_000),
+            SettingKind::Integer(0..=1_000_000),
             false,
-            &super::DEFAULT_SAMPLE.to_string(),
-            "One of so many requests that ended well is logged, chosen by its id alike on every node; 0 logs none. Those that did not are logged whole.",
+            &super::DEFAULT_SAMPLE_INTERVAL.to_string(),
+            "One of this many successful requests is logged, sampled by request id so that all nodes log the same ones; 0 logs none. Failed requests are always logged in full.",
         ),
     ]
 }
@@ -280,26 +282,26 @@
 fn tunable_row(row: engine_settings::TunableRow) -> SettingRow {
     SettingRow {
         path: format!("tunables.{}.{}", row.group, row.name),
-        kind: SettingKind::Number(row.range),
+        kind: SettingKind::Integer(row.range),
         is_required: false,
         default: row.default.to_string(),
         doc: row.doc,
     }
 }
 
-/// docs/SETTINGS.md as the table gives it.
+/// Renders docs/SETTINGS.md from the table.
 pub fn page() -> String {
     let mut page = String::from(
         "# Settings\n\n\
-         One file a process, JSON with comments and trailing commas, given to \
-         `hazeltillerd --settings FILE`. A key that is not listed here is refused. \
-         `hazeltillerd --settings FILE --check` prints every fault of a file.\n\n\
-         This page is printed from the table in the daemon and checked against it by a test.\n\n\
-         | key | takes | default | what it is |\n| --- | --- | --- | --- |\n",
+         Each process has one file, in JSON with comments and trailing commas, given to \
+         `hazeltillerd --settings FILE`. Keys that are not listed here are rejected. \
+         `hazeltillerd --settings FILE --check` prints all faults of a file.\n\n\
+         This page is generated from the table in the daemon and checked against it by a test.\n\n\
+         | key | value | default | description |\n| --- | --- | --- | --- |\n",
     );
     for row in rows() {
         let default = if row.is_required {
-            "must be given"
+            "required"
         } else {
             &row.default
         };
--- a/tests/all/pages.rs
+++ b/tests/all/pages.rs
@@ -113,7 +113,7 @@
     assert!(
         several
             .iter()
-            .any(|fault| fault.contains("is \"data_centre\" meant?")),
+            .any(|fault| fault.contains("did you mean \"data_centre\"?")),
         "{several:?}"
     );
     assert_eq!(several.len(), paths.len() + 1);
