--- a/crates/daemon/src/claims_task.rs
+++ b/crates/daemon/src/claims_task.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the file of claims.
+//! The thread that writes the claims file.
 
 use std::sync::mpsc;
 
@@ -7,17 +7,17 @@
 
 use crate::disk_writer;
 
-/// Writes batches until the sender is gone. After a failure no claim is granted until the whole
-/// file is written anew.
+/// Writes batches until the sender is dropped. After a failure no claim is granted until the whole
+/// file has been rewritten.
 pub fn run(
     mut store: Box<dyn claims::ClaimStore>,
     batches: &mpsc::Receiver<ledger::ClaimBatch>,
     report: impl Fn(ledger::LedgerEvent),
 ) {
-    let report = |told| {
-        report(match told {
-            disk_writer::WriteReport::Kept(batch) => ledger::LedgerEvent::Persisted { batch },
-            disk_writer::WriteReport::Failed => ledger::LedgerEvent::StoreFailed,
+    let report = |result| {
+        report(match result {
+            disk_writer::WriteResult::Persisted(batch) => ledger::LedgerEvent::Persisted { batch },
+            disk_writer::WriteResult::Failed => ledger::LedgerEvent::StoreFailed,
         });
     };
     disk_writer::run(
@@ -35,7 +35,7 @@
     let mut records = Vec::new();
     for mut batch in group {
         if batch.is_whole_file {
-            // It says all that the records before it say.
+            // The batch includes the content of all earlier records.
             records.clear();
             store.rewrite(&batch.records)?;
         } else {
--- a/crates/daemon/src/disk_writer.rs
+++ b/crates/daemon/src/disk_writer.rs
@@ -1,21 +1,22 @@
-//! The loop of a thread that writes to the disk, so that a slow sync never holds the reducer up.
+//! The loop of a thread that writes to disk, so that a slow sync never blocks the reducer.
 //!
-//! Batches that wait share one write. After a failure nothing is written or reported as kept until
-//! a batch that is whole: a sync that is tried again may succeed although the first one has lost
-//! what it was for. When such a batch is due is the reducer's to decide.
+//! Queued batches are written together and share one sync. After a failure nothing is written or
+//! reported as persisted until a batch arrives that replaces the whole file: a repeated sync can
+//! succeed although the data of the failed one was lost. The reducer decides when to send such a
+//! batch.
 
 use std::sync::mpsc;
 
 use hazeltiller_engine::{ledger, replication};
 use hazeltiller_store::error;
 
-/// What is written in one piece.
+/// A batch of records that is written as a unit.
 pub trait DiskBatch {
-    /// Its number, larger than those of the batches before it.
+    /// Returns the number of the batch, which is larger than those of all earlier batches.
     fn number(&self) -> u64;
 
-    /// Whether it holds everything that the disk must keep and replaces what is there.
-    fn is_whole(&self) -> bool;
+    /// Returns whether the batch contains everything to be kept and replaces the existing data.
+    fn replaces_all(&self) -> bool;
 }
 
 impl DiskBatch for replication::PersistBatch {
@@ -23,7 +24,7 @@
         self.batch
     }
 
-    fn is_whole(&self) -> bool {
+    fn replaces_all(&self) -> bool {
         self.is_full_rewrite
     }
 }
@@ -33,50 +34,50 @@
         self.batch
     }
 
-    fn is_whole(&self) -> bool {
+    fn replaces_all(&self) -> bool {
         self.is_whole_file
     }
 }
 
-/// What has become of batches.
+/// Result of writing batches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteReport {
-    /// The batch of this number and all before it are kept.
-    Kept(u64),
-    /// The disk refused: nothing is kept until a whole batch.
+pub enum WriteResult {
+    /// The batch of this number and all earlier ones are on disk.
+    Persisted(u64),
+    /// A write failed: nothing is persisted until a batch that replaces everything.
     Failed,
 }
 
-/// Writes batches until the sender is gone; `name` stands in the log.
+/// Writes batches until the sender is dropped. `name` identifies the file in log messages.
 pub fn run<B: DiskBatch>(
     name: &str,
     batches: &mpsc::Receiver<B>,
     mut write: impl FnMut(Vec<B>) -> Result<(), error::StoreError>,
-    report: impl Fn(WriteReport),
+    report: impl Fn(WriteResult),
 ) {
-    let mut refusal: Option<String> = None;
+    let mut last_failure: Option<String> = None;
     while let Ok(first) = batches.recv() {
         let mut group: Vec<_> = std::iter::once(first).chain(batches.try_iter()).collect();
-        if refusal.is_some() {
-            let whole = group.iter().position(DiskBatch::is_whole);
-            group.drain(..whole.unwrap_or(group.len()));
+        if last_failure.is_some() {
+            let replacing = group.iter().position(DiskBatch::replaces_all);
+            group.drain(..replacing.unwrap_or(group.len()));
         }
         let Some(last) = group.last().map(DiskBatch::number) else {
             continue;
         };
         if let Err(error) = write(group) {
             let text = format!("{}: {name}: {error}", error.code());
-            // A disk that goes on refusing is tried again and again, and told once.
-            if refusal.as_ref() != Some(&text) {
-                log::error!("{text}; nothing is kept until everything is written anew");
+            // While the disk keeps failing in the same way, writes are retried but logged once.
+            if last_failure.as_ref() != Some(&text) {
+                log::error!("{text}; nothing is persisted until all data has been rewritten");
             }
-            refusal = Some(text);
-            report(WriteReport::Failed);
+            last_failure = Some(text);
+            report(WriteResult::Failed);
             continue;
         }
-        if refusal.take().is_some() {
-            log::warn!("{name}: the disk takes writes again, everything is written anew");
+        if last_failure.take().is_some() {
+            log::warn!("{name}: writing succeeds again; all data has been rewritten");
         }
-        report(WriteReport::Kept(last));
+        report(WriteResult::Persisted(last));
     }
 }
--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -1,4 +1,5 @@
-//! The keyed greeting on every connection between processes, on both sides of it.
+//! Both sides of the handshake on connections between processes, which authenticates them by the
+//! group key.
 
 use std::time::Duration;
 
@@ -12,119 +13,124 @@
     time,
 };
 
-/// Longest time for the whole greeting; ends a peer that sends byte by byte.
-pub const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time for the whole handshake; it also stops peers that send byte by byte.
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a connection was closed during its greeting.
+/// Error in the handshake or on the connection after it.
 #[derive(Debug, Snafu)]
-pub enum GreetingError {
-    /// The connection broke.
-    #[snafu(display("the connection broke: {source}"))]
-    Broken {
-        /// Why.
+pub enum HandshakeError {
+    /// Reading, writing or connecting failed.
+    #[snafu(display("connection failed: {source}"))]
+    Io {
+        /// Cause.
         source: std::io::Error,
     },
-    /// A frame was no greeting.
-    #[snafu(display("{source}"))]
-    Unreadable {
-        /// Why.
+    /// A frame could not be decoded.
+    #[snafu(display("invalid frame: {source}"))]
+    Decode {
+        /// Cause.
         source: codec::CodecError,
     },
-    /// It took too long.
-    #[snafu(display("the greeting took over {GREETING_TIMEOUT:?}"))]
-    TooSlow {
-        /// The timer's word.
+    /// The handshake took longer than [`HANDSHAKE_TIMEOUT`].
+    #[snafu(display("handshake not complete within {HANDSHAKE_TIMEOUT:?}"))]
+    TimedOut {
+        /// Error of the timer.
         source: time::error::Elapsed,
     },
-    /// The other side lacks the group key.
-    #[snafu(display("the other side did not prove the group key"))]
-    Unproven,
-    /// The other side speaks another version.
-    #[snafu(display("the other side speaks version {version}"))]
-    OtherVersion {
-        /// Its version.
+    /// The proof of the peer does not match the group key.
+    #[snafu(display("the proof of the peer does not match the group key"))]
+    ProofMismatch,
+    /// The peer uses another protocol version.
+    #[snafu(display("the peer uses protocol version {version}"))]
+    VersionMismatch {
+        /// Version of the peer.
         version: u16,
     },
 }
 
-impl GreetingError {
-    /// The code that it counts under; `None` for a link that only broke.
+impl HandshakeError {
+    /// Returns the result code under which the error is counted, or `None` for a connection
+    /// failure.
     pub fn code(&self) -> Option<code::ResultCode> {
         match self {
-            Self::Broken { .. } => None,
-            Self::Unreadable { .. } | Self::OtherVersion { .. } => {
+            Self::Io { .. } => None,
+            Self::Decode { .. } | Self::VersionMismatch { .. } => {
                 Some(code::ResultCode::MessageInvalid)
             }
-            Self::TooSlow { .. } | Self::Unproven => Some(code::ResultCode::PeerRefused),
+            Self::TimedOut { .. } | Self::ProofMismatch => Some(code::ResultCode::PeerRefused),
         }
     }
 }
 
-/// What a process greets with.
+/// What a process authenticates itself with.
 #[derive(Debug, Clone)]
 pub struct LinkCredentials {
-    /// Who it is.
+    /// Identity of the process.
     pub identity: membership::PeerIdentity,
     /// The group key.
     pub key: wire::GroupKey,
 }
 
 impl LinkCredentials {
-    /// Greets as the side that connected; returns who answered.
+    /// Performs the handshake as the side that connected. Returns the identity of the peer.
     pub async fn open(
         &self,
         stream: &mut TcpStream,
         purpose: wire::LinkPurpose,
-    ) -> Result<membership::PeerIdentity, GreetingError> {
-        time::timeout(GREETING_TIMEOUT, self.open_slowly(stream, purpose))
-            .await
-            .context(TooSlowSnafu)?
+    ) -> Result<membership::PeerIdentity, HandshakeError> {
+        time::timeout(
+            HANDSHAKE_TIMEOUT,
+            self.open_without_timeout(stream, purpose),
+        )
+        .await
+        .context(TimedOutSnafu)?
     }
 
-    /// Greets as the side that was connected to; returns who connected and what for.
+    /// Performs the handshake as the side that was connected to. Returns the identity of the peer
+    /// and the purpose of the connection.
     pub async fn accept(
         &self,
         stream: &mut TcpStream,
-    ) -> Result<(membership::PeerIdentity, wire::LinkPurpose), GreetingError> {
-        time::timeout(GREETING_TIMEOUT, self.accept_slowly(stream))
+    ) -> Result<(membership::PeerIdentity, wire::LinkPurpose), HandshakeError> {
+        time::timeout(HANDSHAKE_TIMEOUT, self.accept_without_timeout(stream))
             .await
-            .context(TooSlowSnafu)?
+            .context(TimedOutSnafu)?
     }
 
-    async fn open_slowly(
+    async fn open_without_timeout(
         &self,
         stream: &mut TcpStream,
         purpose: wire::LinkPurpose,
-    ) -> Result<membership::PeerIdentity, GreetingError> {
+    ) -> Result<membership::PeerIdentity, HandshakeError> {
         let hello = wire::LinkHello {
             version: wire::WIRE_VERSION,
             purpose,
             identity: self.identity.clone(),
             nonce: rand::random(),
         };
-        write_greeting(stream, &hello).await?;
-        let challenge: wire::LinkChallenge = read_greeting(stream).await?;
+        write_frame(stream, &hello).await?;
+        let challenge: wire::LinkChallenge = read_frame(stream).await?;
         let prove = |side| {
             self.key
                 .prove(side, &hello, &challenge.identity, challenge.nonce)
         };
         if !wire::GroupKey::accepts(&prove(wire::LinkSide::Listener), &challenge.proof) {
-            return Err(GreetingError::Unproven);
+            return Err(HandshakeError::ProofMismatch);
         }
         let proof = wire::LinkProof {
             proof: prove(wire::LinkSide::Opener),
         };
-        write_greeting(stream, &proof).await?;
+        write_frame(stream, &proof).await?;
         Ok(challenge.identity)
     }
 
-    async fn accept_slowly(
+    async fn accept_without_timeout(
         &self,
         stream: &mut TcpStream,
-    ) -> Result<(membership::PeerIdentity, wire::LinkPurpose), GreetingError> {
-        let hello: wire::LinkHello = read_greeting(stream).await?;
+    ) -> Result<(membership::PeerIdentity, wire::LinkPurpose), HandshakeError> {
+        let hello: wire::LinkHello = read_frame(stream).await?;
         if hello.version != wire::WIRE_VERSION {
-            return Err(GreetingError::OtherVersion {
+            return Err(HandshakeError::VersionMismatch {
                 version: hello.version,
             });
         }
@@ -135,33 +141,33 @@
             nonce,
             proof: prove(wire::LinkSide::Listener),
         };
-        write_greeting(stream, &challenge).await?;
-        let answer: wire::LinkProof = read_greeting(stream).await?;
+        write_frame(stream, &challenge).await?;
+        let answer: wire::LinkProof = read_frame(stream).await?;
         if !wire::GroupKey::accepts(&prove(wire::LinkSide::Opener), &answer.proof) {
-            return Err(GreetingError::Unproven);
+            return Err(HandshakeError::ProofMismatch);
         }
         Ok((hello.identity, hello.purpose))
     }
 }
 
-async fn write_greeting<T: Serialize>(
+async fn write_frame<T: Serialize>(
     stream: &mut TcpStream,
-    greeting: &T,
-) -> Result<(), GreetingError> {
+    frame: &T,
+) -> Result<(), HandshakeError> {
     stream
-        .write_all(&codec::encode_frame(greeting))
+        .write_all(&codec::encode_frame(frame))
         .await
-        .context(BrokenSnafu)
+        .context(IoSnafu)
 }
 
-async fn read_greeting<T: DeserializeOwned>(stream: &mut TcpStream) -> Result<T, GreetingError> {
+async fn read_frame<T: DeserializeOwned>(stream: &mut TcpStream) -> Result<T, HandshakeError> {
     let mut prefix = [0; codec::LENGTH_BYTES];
-    stream.read_exact(&mut prefix).await.context(BrokenSnafu)?;
-    let size = codec::frame_length(prefix).context(UnreadableSnafu)?;
+    stream.read_exact(&mut prefix).await.context(IoSnafu)?;
+    let size = codec::frame_length(prefix).context(DecodeSnafu)?;
     if size > wire::LARGEST_GREETING {
-        return Err(codec::CodecError::TooLarge { size }).context(UnreadableSnafu);
+        return Err(codec::CodecError::TooLarge { size }).context(DecodeSnafu);
     }
     let mut body = vec![0; size];
-    stream.read_exact(&mut body).await.context(BrokenSnafu)?;
-    codec::decode_body(&body).context(UnreadableSnafu)
+    stream.read_exact(&mut body).await.context(IoSnafu)?;
+    codec::decode_body(&body).context(DecodeSnafu)
 }
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -1,8 +1,9 @@
-//! Links that carry messages to other processes, one a peers address, opened when first needed.
+//! Outgoing message connections ("links") to other processes, one for each peers address.
 //!
-//! A link keeps the order of its messages and may lose its tail when it breaks; the reducer is
-//! told and asks again for what it misses. A full link drops messages rather than hold the
-//! reducer up.
+//! A link is opened for its first message. It preserves the order of messages, but the last ones
+//! can be lost when it breaks. The reducer is notified of that and requests again what it is
+//! missing. When the queue of a link is full, further messages are dropped, so that the reducer
+//! never blocks.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -23,70 +24,74 @@
 
 use crate::{byte_counts, engine_actor, handshake};
 
-/// Messages that wait on one link.
-const QUEUE_LENGTH: usize = 512;
-/// Longest time to connect: twice a round trip between distant regions, and once more for a packet
-/// that was lost.
+/// Capacity of the send queue of a link, in messages.
+const QUEUE_CAPACITY: usize = 512;
+/// Longest time to connect: allows for two round trips between distant regions, and a
+/// retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Times after the first dial at which another one is made beside it. The packet that opens a connection
-/// is lost where the other machine has no power or the link is cut, and the network sends it again only
-/// after a second: a fleet whose machines all come back within 0.4 s of each other waited out that second.
-/// The first dial stays, for on a choked link its answer is merely late.
-const REDIALS: [Duration; 3] = [
+/// Delays after the first connection attempt at which further ones are started in parallel. A SYN
+/// that is sent while the other machine is down or the network is partitioned gets lost, and TCP
+/// retransmits it only after one second: machines that all came back within 0.4 s of each other
+/// spent that second waiting. The earlier attempts are kept, since on a congested path their
+/// answers are merely late.
+const PARALLEL_DIAL_DELAYS: [Duration; 3] = [
     Duration::from_millis(150),
     Duration::from_millis(350),
     Duration::from_millis(650),
 ];
-/// Acknowledgements that are read at once.
-const ACKS_AT_ONCE: usize = 64;
-/// Time within which the other side says that it has read what was sent. A link that goes silent
-/// without a word of the network is found by this; its messages go over a new one, while the old one
-/// might wait for seconds more to be tried again by the network's own back-off.
+/// Largest number of acknowledgements, of one byte each, that are read at once.
+const ACK_BUFFER_BYTES: usize = 64;
+/// Time within which the receiver acknowledges that it has read what was sent. It detects
+/// connections that are dead without an error. Later messages use a new connection, while TCP's
+/// retransmission back-off might keep those on the old one waiting for seconds more.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1000);
-/// What the other side answers to what it has read.
+/// Acknowledgement that the receiver sends when it has read all that has arrived.
 pub const ACK_BYTE: u8 = 1;
-/// A link without messages for this long is closed.
+/// Time without messages after which a link is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 type LinkMap = Arc<Mutex<IndexMap<SocketAddr, mpsc::Sender<Vec<u8>>>>>;
 
-/// Every link of a process.
+/// The links of a process, by peers address.
 #[derive(Debug, Clone)]
 pub struct LinkTable {
     links: LinkMap,
     credentials: handshake::LinkCredentials,
-    losses: mpsc::UnboundedSender<SocketAddr>,
+    lost_links: mpsc::UnboundedSender<SocketAddr>,
     counts: byte_counts::ByteCounts,
 }
 
 impl LinkTable {
-    /// A table without links, and where lost links are reported.
+    /// Returns an empty table, and the channel on which the addresses of lost links are reported.
     pub fn new(
         credentials: handshake::LinkCredentials,
         counts: byte_counts::ByteCounts,
     ) -> (Self, mpsc::UnboundedReceiver<SocketAddr>) {
-        let (losses, receiver) = mpsc::unbounded_channel();
+        let (lost_links, receiver) = mpsc::unbounded_channel();
         (
             Self {
                 links: LinkMap::default(),
                 credentials,
-                losses,
+                lost_links,
                 counts,
             },
             receiver,
         )
     }
 
-    /// Sends a message, or drops it when the link is full.
+    /// Queues a message for a peers address, or drops it if the queue is full.
     pub fn send(&self, to: SocketAddr, frame: &message::PeerFrame) {
         let bytes = codec::encode_frame(frame);
         let (reason, size) = (frame.message.reason(), bytes.len());
-        let mut links = self.links.lock().expect("no holder of the lock panics");
+        let mut links = self
+            .links
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let link = links.entry(to).or_insert_with(|| self.open(to));
         match link.try_send(bytes) {
             Ok(()) => {}
             Err(mpsc::error::TrySendError::Full(_)) => {
-                return log::warn!("link to {to} is full");
+                return log::warn!("send queue of the link to {to} is full; message dropped");
             }
             Err(mpsc::error::TrySendError::Closed(bytes)) => {
                 *link = self.open(to);
@@ -97,44 +102,45 @@
     }
 
     fn open(&self, to: SocketAddr) -> mpsc::Sender<Vec<u8>> {
-        let (sender, receiver) = mpsc::channel(QUEUE_LENGTH);
-        let (credentials, losses) = (self.credentials.clone(), self.losses.clone());
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let (credentials, lost_links) = (self.credentials.clone(), self.lost_links.clone());
         tokio::spawn(async move {
-            if let Err(error) = carry(&credentials, to, receiver).await {
+            if let Err(error) = run_link(&credentials, to, receiver).await {
                 log::debug!("link to {to} lost: {error}");
-                let _ = losses.send(to);
+                let _ = lost_links.send(to);
             }
         });
         sender
     }
 }
 
-/// Tells the reducer of lost links until the table is gone.
+/// Notifies the reducer of lost links until the table is dropped.
 pub async fn report_losses(
-    mut losses: mpsc::UnboundedReceiver<SocketAddr>,
+    mut lost_links: mpsc::UnboundedReceiver<SocketAddr>,
     engine: engine_actor::EngineHandle,
 ) {
-    while let Some(address) = losses.recv().await {
+    while let Some(address) = lost_links.recv().await {
         engine.tell(event::Event::LinkLost { address });
     }
 }
 
-async fn carry(
+/// Sends queued frames on a connection until it breaks, is idle or the queue is closed.
+async fn run_link(
     credentials: &handshake::LinkCredentials,
     to: SocketAddr,
     mut frames: mpsc::Receiver<Vec<u8>>,
-) -> Result<(), handshake::GreetingError> {
+) -> Result<(), handshake::HandshakeError> {
     let stream = connect(credentials, to, wire::LinkPurpose::Messages).await?;
-    let broken = |source| handshake::GreetingError::Broken { source };
-    let timed_out = || broken(std::io::ErrorKind::TimedOut.into());
+    let io_error = |source| handshake::HandshakeError::Io { source };
+    let timed_out = || io_error(std::io::ErrorKind::TimedOut.into());
     let (mut reader, mut writer) = stream.into_split();
-    let mut unread_since = None;
+    let mut unacked_since = None;
     loop {
-        let until = unread_since.map_or_else(
+        let deadline = unacked_since.map_or_else(
             || time::Instant::now() + IDLE_TIMEOUT,
             |since| since + ACK_TIMEOUT,
         );
-        let mut acks = [0; ACKS_AT_ONCE];
+        let mut acks = [0; ACK_BUFFER_BYTES];
         tokio::select! {
             frame = frames.recv() => {
                 let Some(mut bytes) = frame else {
@@ -143,60 +149,61 @@
                 while let Ok(more) = frames.try_recv() {
                     bytes.extend_from_slice(&more);
                 }
-                unread_since.get_or_insert_with(time::Instant::now);
+                unacked_since.get_or_insert_with(time::Instant::now);
                 let writing = time::timeout(ACK_TIMEOUT, writer.write_all(&bytes));
-                writing.await.map_err(|_late| timed_out())?.map_err(broken)?;
+                writing.await.map_err(|_late| timed_out())?.map_err(io_error)?;
             }
-            count = reader.read(&mut acks) => match count.map_err(broken)? {
-                0 => return Err(broken(std::io::ErrorKind::UnexpectedEof.into())),
-                _ => unread_since = None,
+            count = reader.read(&mut acks) => match count.map_err(io_error)? {
+                0 => return Err(io_error(std::io::ErrorKind::UnexpectedEof.into())),
+                _ => unacked_since = None,
             },
-            () = time::sleep_until(until) => {
-                return if unread_since.is_some() { Err(timed_out()) } else { Ok(()) };
+            () = time::sleep_until(deadline) => {
+                return if unacked_since.is_some() { Err(timed_out()) } else { Ok(()) };
             }
         }
     }
 }
 
-/// Connects to another process and greets it. The connection comes from the address that this
-/// process listens on, so that the other side's network can tell who it is from.
+/// Connects to another process and performs the handshake. The local address of the connection is
+/// the one that this process listens on, so that the other side's network can identify the sender.
 pub async fn connect(
     credentials: &handshake::LinkCredentials,
     to: SocketAddr,
     purpose: wire::LinkPurpose,
-) -> Result<TcpStream, handshake::GreetingError> {
-    let broken = |source| handshake::GreetingError::Broken { source };
-    let own = credentials.identity.address.ip();
-    let connected = time::timeout(CONNECT_TIMEOUT, dial_repeatedly(own, to)).await;
-    let timed_out = |_elapsed| broken(std::io::ErrorKind::TimedOut.into());
-    let mut stream = connected.map_err(timed_out)?.map_err(broken)?;
-    stream.set_nodelay(true).map_err(broken)?;
+) -> Result<TcpStream, handshake::HandshakeError> {
+    let io_error = |source| handshake::HandshakeError::Io { source };
+    let local_ip = credentials.identity.address.ip();
+    let connected = time::timeout(CONNECT_TIMEOUT, dial_in_parallel(local_ip, to)).await;
+    let timed_out = |_elapsed| io_error(std::io::ErrorKind::TimedOut.into());
+    let mut stream = connected.map_err(timed_out)?.map_err(io_error)?;
+    stream.set_nodelay(true).map_err(io_error)?;
     credentials.open(&mut stream, purpose).await?;
     Ok(stream)
 }
 
-/// Dials until one of the dials is answered; one that is refused ends them all.
-async fn dial_repeatedly(own: IpAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
-    let began = time::Instant::now();
-    let mut dials = FuturesUnordered::from_iter([dial(own, to)]);
-    for redial in REDIALS {
+/// Starts connection attempts until the first one ends, and returns its result: a refused
+/// connection ends all attempts.
+async fn dial_in_parallel(local_ip: IpAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
+    let started_at = time::Instant::now();
+    let mut dials = FuturesUnordered::from_iter([dial(local_ip, to)]);
+    for delay in PARALLEL_DIAL_DELAYS {
         tokio::select! {
             Some(dialed) = dials.next() => return dialed,
-            () = time::sleep_until(began + redial) => dials.push(dial(own, to)),
+            () = time::sleep_until(started_at + delay) => dials.push(dial(local_ip, to)),
         }
     }
     let dialed = dials.next().await;
     dialed.unwrap_or_else(|| Err(std::io::ErrorKind::NotConnected.into()))
 }
 
-async fn dial(own: IpAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
+async fn dial(local_ip: IpAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = if to.is_ipv4() {
         TcpSocket::new_v4()
     } else {
         TcpSocket::new_v6()
     }?;
-    if own.is_ipv4() == to.is_ipv4() && !own.is_unspecified() {
-        socket.bind(SocketAddr::new(own, 0))?;
+    if local_ip.is_ipv4() == to.is_ipv4() && !local_ip.is_unspecified() {
+        socket.bind(SocketAddr::new(local_ip, 0))?;
     }
     socket.connect(to).await
 }
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -43,7 +43,7 @@
 /// Gives the revision in place, proven to be so by a majority.
 pub(super) async fn revision(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let here = context.engine.read_revision();
-    answer_response(settle(context, here, questions::LeaderQuestion::Revision).await)
+    answer_response(settle(context, here, questions::LeaderRequest::Revision).await)
 }
 
 /// Takes a change.
@@ -61,7 +61,7 @@
         Err(fault) => return fault.response(),
     };
     let change = questions::ForwardedChange { author, request };
-    let question = questions::LeaderQuestion::Propose(change.clone());
+    let question = questions::LeaderRequest::Propose(change.clone());
     let here = context.engine.propose(change.into_proposal());
     answer_response(settle(context, here, question).await)
 }
@@ -161,7 +161,7 @@
 pub(super) async fn settle(
     context: &process::ProcessContext,
     here: impl Future<Output = replication::ProposalAnswer>,
-    question: questions::LeaderQuestion,
+    question: questions::LeaderRequest,
 ) -> replication::ProposalAnswer {
     let patience = settings::millis(context.operator_timeout_ms);
     let unknown = replication::ProposalAnswer::Unknown;
@@ -170,7 +170,7 @@
         replication::ProposalAnswer::Elsewhere(leader) => {
             // The leader's own bound comes first, so that its word is heard.
             let patience = patience + Duration::from_secs(1);
-            questions::ask(context, leader, question, patience).await
+            questions::call_leader(context, leader, question, patience).await
         }
         answer => answer,
     }
--- a/crates/daemon/src/operators/control.rs
+++ b/crates/daemon/src/operators/control.rs
@@ -34,7 +34,7 @@
         Ok(change) => change,
         Err(fault) => return fault.response(),
     };
-    let question = questions::LeaderQuestion::ChangeGroup(change.clone());
+    let question = questions::LeaderRequest::ChangeGroup(change.clone());
     let here = context.engine.change_group(change);
     changes::answer_response(changes::settle(context, here, question).await)
 }
--- a/crates/daemon/src/operators/revision.rs
+++ b/crates/daemon/src/operators/revision.rs
@@ -153,7 +153,7 @@
         author: replication::ChangeAuthor::Administrator,
         request,
     };
-    let question = questions::LeaderQuestion::Propose(change.clone());
+    let question = questions::LeaderRequest::Propose(change.clone());
     let here = context.engine.propose(change.into_proposal());
     changes::settle(context, here, question).await
 }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,4 +1,5 @@
-//! The peers listener: greets, then reads messages or serves calls.
+//! The listener for other processes: performs the handshake, then receives messages or serves calls
+//! or RPC requests, according to the purpose of the connection.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,11 +17,12 @@
 
 use crate::{drain, handshake, links, listener, owner, process, questions};
 
-/// Time in which a peer takes the end of the last answer, once a stopping node has given it.
-const GOODBYE_TIME: Duration = Duration::from_millis(300);
+/// Time for which a stopping node keeps a connection open after its last response, so that the peer
+/// receives the end of that response.
+const FINAL_FLUSH_TIME: Duration = Duration::from_millis(300);
 
-/// Room for the headers that a node adds to a caller's, in bytes.
-const LARGEST_OFFER: u32 = 8192;
+/// Allowance for the headers that a node adds to those of a caller, in bytes.
+const ADDED_HEADER_BYTES: u32 = 8192;
 
 /// Serves the listener until the process stops.
 pub async fn serve(context: Arc<process::ProcessContext>, listener: TcpListener) {
@@ -32,23 +34,27 @@
 
 async fn serve_connection(context: Arc<process::ProcessContext>, mut stream: TcpStream) {
     let (identity, purpose) = match context.credentials.accept(&mut stream).await {
-        Ok(greeted) => greeted,
+        Ok(accepted) => accepted,
         Err(error) => {
             count_refusal(&context, &error);
-            // A peer that dialled more than once leaves all connections but one.
+            // A peer that made parallel connection attempts abandons all but one, so that broken
+            // connections are expected here.
             let level = if error.code().is_some() {
                 log::Level::Warn
             } else {
                 log::Level::Debug
             };
-            return log::log!(level, "peer refused: {error}");
+            return log::log!(level, "handshake with a peer failed: {error}");
         }
     };
     match purpose {
         wire::LinkPurpose::Messages => {
             if let Err(error) = read_messages(&context, &identity, stream).await {
                 count_refusal(&context, &error);
-                log::debug!("link from {} ended: {error}", identity.instance);
+                log::debug!(
+                    "message connection from {} ended: {error}",
+                    identity.instance
+                );
             }
         }
         wire::LinkPurpose::Calls => serve_calls(context, &identity, stream).await,
@@ -56,7 +62,7 @@
     }
 }
 
-fn count_refusal(context: &process::ProcessContext, error: &handshake::GreetingError) {
+fn count_refusal(context: &process::ProcessContext, error: &handshake::HandshakeError) {
     if let Some(code) = error.code() {
         let refused = &context.metrics.refused_peers;
         refused.with_label_values(&[&code.to_string()]).inc();
@@ -67,18 +73,18 @@
     context: &process::ProcessContext,
     from: &membership::PeerIdentity,
     stream: TcpStream,
-) -> Result<(), handshake::GreetingError> {
-    let broken = |source| handshake::GreetingError::Broken { source };
-    let unreadable = |source| handshake::GreetingError::Unreadable { source };
+) -> Result<(), handshake::HandshakeError> {
+    let io_error = |source| handshake::HandshakeError::Io { source };
+    let decode_error = |source| handshake::HandshakeError::Decode { source };
     let (reader, mut writer) = stream.into_split();
     let mut reader = tokio::io::BufReader::new(reader);
     loop {
         let mut prefix = [0; codec::LENGTH_BYTES];
-        reader.read_exact(&mut prefix).await.map_err(broken)?;
-        let size = codec::frame_length(prefix).map_err(unreadable)?;
+        reader.read_exact(&mut prefix).await.map_err(io_error)?;
+        let size = codec::frame_length(prefix).map_err(decode_error)?;
         let mut body = vec![0; size];
-        reader.read_exact(&mut body).await.map_err(broken)?;
-        let frame: message::PeerFrame = codec::decode_body(&body).map_err(unreadable)?;
+        reader.read_exact(&mut body).await.map_err(io_error)?;
+        let frame: message::PeerFrame = codec::decode_body(&body).map_err(decode_error)?;
         let bytes = size + codec::LENGTH_BYTES;
         context.bytes.received(frame.message.reason(), bytes);
         context.clock.merge(frame.clock);
@@ -88,7 +94,10 @@
         };
         context.engine.tell(event);
         if reader.buffer().is_empty() {
-            writer.write_all(&[links::ACK_BYTE]).await.map_err(broken)?;
+            writer
+                .write_all(&[links::ACK_BYTE])
+                .await
+                .map_err(io_error)?;
         }
     }
 }
@@ -100,49 +109,51 @@
 ) {
     let shared = Arc::clone(&context);
     let transit = context.transit.of_peer(&from.instance, from.incarnation);
-    // Each call holds a receiver until its answer is handed over; none is left when all have ended.
-    let calls = watch::Sender::new(());
-    let call = calls.clone();
+    // Each call holds a receiver until its response has been handed over, so that the channel
+    // closes when all calls have ended.
+    let open_calls = watch::Sender::new(());
+    let call_counter = open_calls.clone();
     let service = service::service_fn(move |request| {
         let (context, transit) = (Arc::clone(&shared), Arc::clone(&transit));
-        let held = call.subscribe();
+        let call_guard = call_counter.subscribe();
         async move {
             let response = owner::serve_offer(context, &transit, request).await;
-            let holding = move |frame| {
-                let _held = &held;
+            let keep_guard = move |frame| {
+                let _guard = &call_guard;
                 frame
             };
-            let response = response.map(|body| body.map_frame(holding).boxed_unsync());
+            let response = response.map(|body| body.map_frame(keep_guard).boxed_unsync());
             Ok::<_, std::convert::Infallible>(response)
         }
     });
     let mut server = http2::Builder::new(rt::TokioExecutor::new());
     server
         .timer(rt::TokioTimer::new())
-        .max_header_list_size(context.request_tunables.head_bytes as u32 + LARGEST_OFFER)
+        .max_header_list_size(context.request_tunables.head_bytes as u32 + ADDED_HEADER_BYTES)
         .max_concurrent_streams(4096);
-    let flight = context.drain.in_flight();
+    let in_flight = context.drain.in_flight();
     let connection = server.serve_connection(rt::TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let served = tokio::select! {
         served = connection.as_mut() => served,
         () = context.drain.wait_for_phase(drain::DrainPhase::Closing) => {
             connection.as_mut().graceful_shutdown();
-            // A peer behind a cut never says that it has heard of that; the stop must not wait for it.
-            let said = async {
-                while calls.receiver_count() > 0 {
-                    calls.closed().await;
-                    time::sleep(GOODBYE_TIME).await;
+            // A peer that is cut off never acknowledges the shutdown of the connection, which must
+            // not delay the exit of the process.
+            let flushed = async {
+                while open_calls.receiver_count() > 0 {
+                    open_calls.closed().await;
+                    time::sleep(FINAL_FLUSH_TIME).await;
                 }
             };
             tokio::select! {
                 served = connection => served,
-                () = said => Ok(()),
+                () = flushed => Ok(()),
             }
         }
     };
-    drop(flight);
+    drop(in_flight);
     if let Err(error) = served {
-        log::debug!("calls link ended: {error}");
+        log::debug!("call connection ended: {error}");
     }
 }
--- a/crates/daemon/src/questions.rs
+++ b/crates/daemon/src/questions.rs
@@ -1,7 +1,8 @@
-//! Questions between controls as JSON-RPC: a change that a follower was sent goes to the leader.
+//! JSON-RPC requests from controls to their leader. Followers forward the changes that they
+//! receive.
 //!
-//! A question is asked on a link of its own and never asked twice: once it may have reached the
-//! leader, a lost answer means that the outcome is unknown.
+//! Each request uses a connection of its own and is never retried: once it may have reached the
+//! leader, the outcome of a request without an answer is unknown.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -29,17 +30,17 @@
 
 use crate::{links, process};
 
-/// A change as one control passes it to another.
+/// A change that one control forwards to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ForwardedChange {
-    /// Who asks for it.
+    /// Author of the change.
     pub author: replication::ChangeAuthor,
-    /// The operator's request.
+    /// Request of the operator.
     pub request: change::ChangeRequest,
 }
 
 impl ForwardedChange {
-    /// The proposal that it makes here and now.
+    /// Converts the change into a proposal with the current time.
     pub fn into_proposal(self) -> replication::ChangeProposal {
         replication::ChangeProposal {
             number: replication::ProposalNumber(0),
@@ -51,18 +52,18 @@
     }
 }
 
-/// What a control asks the leader of its group.
+/// Requests that the leader of the control group serves.
 #[rpc(client, server, namespace = "control")]
-pub trait LeaderQuestions {
-    /// Take a change.
+pub trait LeaderRpc {
+    /// Proposes a change.
     #[method(name = "propose")]
     async fn propose(&self, change: ForwardedChange) -> RpcResult<replication::ProposalAnswer>;
 
-    /// Tell the revision in place.
+    /// Returns the current revision.
     #[method(name = "revision")]
     async fn revision(&self) -> RpcResult<replication::ProposalAnswer>;
 
-    /// Change the voters.
+    /// Changes the voters.
     #[method(name = "change_group")]
     async fn change_group(
         &self,
@@ -70,38 +71,43 @@
     ) -> RpcResult<replication::ProposalAnswer>;
 }
 
-struct QuestionServer {
+struct RpcHandler {
     context: Arc<process::ProcessContext>,
 }
 
 #[async_trait]
-impl LeaderQuestionsServer for QuestionServer {
+impl LeaderRpcServer for RpcHandler {
     async fn propose(&self, change: ForwardedChange) -> RpcResult<replication::ProposalAnswer> {
         let proposal = change.into_proposal();
-        Ok(last_hop(self.context.engine.propose(proposal).await))
+        Ok(refuse_forwarding(
+            self.context.engine.propose(proposal).await,
+        ))
     }
 
     async fn revision(&self) -> RpcResult<replication::ProposalAnswer> {
-        Ok(last_hop(self.context.engine.read_revision().await))
+        Ok(refuse_forwarding(self.context.engine.read_revision().await))
     }
 
     async fn change_group(
         &self,
         change: replication::GroupChange,
     ) -> RpcResult<replication::ProposalAnswer> {
-        Ok(last_hop(self.context.engine.change_group(change).await))
+        Ok(refuse_forwarding(
+            self.context.engine.change_group(change).await,
+        ))
     }
 }
 
-/// A question is passed on once only: leaders that change meanwhile are the operator's to find.
-fn last_hop(answer: replication::ProposalAnswer) -> replication::ProposalAnswer {
+/// Replaces a referral to another leader by a refusal. Requests are forwarded only once; if the
+/// leader changes meanwhile, the operator has to retry.
+fn refuse_forwarding(answer: replication::ProposalAnswer) -> replication::ProposalAnswer {
     match answer {
-        replication::ProposalAnswer::Elsewhere(_) => not_run(code::ResultCode::LeaderUnknown),
+        replication::ProposalAnswer::Elsewhere(_) => refusal(code::ResultCode::LeaderUnknown),
         answer => answer,
     }
 }
 
-fn not_run(code: code::ResultCode) -> replication::ProposalAnswer {
+fn refusal(code: code::ResultCode) -> replication::ProposalAnswer {
     replication::ProposalAnswer::Refused {
         code,
         version: ids::CatalogueVersion::default(),
@@ -109,14 +115,14 @@
     }
 }
 
-/// Serves questions on a link that has been greeted.
+/// Serves requests on a connection after its handshake.
 pub async fn serve(context: Arc<process::ProcessContext>, stream: TcpStream) {
-    let module: RpcModule<QuestionServer> = QuestionServer { context }.into_rpc();
+    let module: RpcModule<RpcHandler> = RpcHandler { context }.into_rpc();
     let (reader, writer) = stream.into_split();
-    let (mut reader, mut writer) = (QuestionReader(reader), QuestionWriter(writer));
+    let (mut reader, mut writer) = (RpcReader(reader), RpcWriter(writer));
     while let Ok(text) = reader.read().await {
         let Ok((answer, _subscriptions)) = module.raw_json_request(&text, 1).await else {
-            return log::warn!("a question could not be read");
+            return log::warn!("invalid JSON-RPC request from another control; connection closed");
         };
         if writer.write(answer.get()).await.is_err() {
             return;
@@ -124,106 +130,106 @@
     }
 }
 
-/// A question to the leader.
+/// A request to the leader.
 #[derive(Debug, Clone)]
-pub enum LeaderQuestion {
-    /// Take a change.
+pub enum LeaderRequest {
+    /// Proposes a change.
     Propose(ForwardedChange),
-    /// Tell the revision in place.
+    /// Reads the current revision.
     Revision,
-    /// Change the voters.
+    /// Changes the voters.
     ChangeGroup(replication::GroupChange),
 }
 
-/// Asks the leader at a peers address.
-pub async fn ask(
+/// Sends a request to the leader at a peers address and returns the answer.
+pub async fn call_leader(
     context: &process::ProcessContext,
     leader: SocketAddr,
-    question: LeaderQuestion,
-    patience: Duration,
+    request: LeaderRequest,
+    timeout: Duration,
 ) -> replication::ProposalAnswer {
     let purpose = wire::LinkPurpose::Questions;
     let stream = match links::connect(&context.credentials, leader, purpose).await {
         Ok(stream) => stream,
         Err(error) => {
-            log::info!("the leader at {leader} cannot be reached: {error}");
-            return not_run(code::ResultCode::LeaderUnknown);
+            log::info!("connecting to the leader at {leader} failed: {error}");
+            return refusal(code::ResultCode::LeaderUnknown);
         }
     };
     let (reader, writer) = stream.into_split();
     let client = ClientBuilder::default()
-        .request_timeout(patience)
-        .build_with_tokio(QuestionWriter(writer), QuestionReader(reader));
-    let answered = match question {
-        LeaderQuestion::Propose(change) => client.propose(change).await,
-        LeaderQuestion::Revision => client.revision().await,
-        LeaderQuestion::ChangeGroup(change) => client.change_group(change).await,
+        .request_timeout(timeout)
+        .build_with_tokio(RpcWriter(writer), RpcReader(reader));
+    let answered = match request {
+        LeaderRequest::Propose(change) => client.propose(change).await,
+        LeaderRequest::Revision => client.revision().await,
+        LeaderRequest::ChangeGroup(change) => client.change_group(change).await,
     };
     answered.unwrap_or_else(|error| {
-        log::info!("the leader at {leader} did not answer: {error}");
+        log::info!("request to the leader at {leader} failed: {error}");
         replication::ProposalAnswer::Unknown
     })
 }
 
-/// Why a question or its answer was lost.
+/// Error in the transport of a request or its answer.
 #[derive(Debug, Snafu)]
-pub enum QuestionError {
-    /// The link broke.
-    #[snafu(display("the link broke: {source}"))]
-    Broken {
-        /// Why.
+pub enum TransportError {
+    /// Reading or writing failed.
+    #[snafu(display("connection failed: {source}"))]
+    Io {
+        /// Cause.
         source: std::io::Error,
     },
-    /// The frame is too large.
+    /// A frame exceeds the size limit.
     #[snafu(display("{source}"))]
     TooLarge {
-        /// How large.
+        /// Cause, with the size.
         source: codec::CodecError,
     },
-    /// The frame is no text.
-    #[snafu(display("the frame is no text: {source}"))]
-    NoText {
-        /// Why.
+    /// A frame is not valid UTF-8.
+    #[snafu(display("frame is not valid UTF-8: {source}"))]
+    InvalidText {
+        /// Cause.
         source: std::string::FromUtf8Error,
     },
 }
 
-struct QuestionWriter(OwnedWriteHalf);
+struct RpcWriter(OwnedWriteHalf);
 
-impl QuestionWriter {
-    async fn write(&mut self, text: &str) -> Result<(), QuestionError> {
+impl RpcWriter {
+    async fn write(&mut self, text: &str) -> Result<(), TransportError> {
         let mut frame = Vec::with_capacity(text.len() + codec::LENGTH_BYTES);
         frame.extend_from_slice(&(text.len() as u32).to_le_bytes());
         frame.extend_from_slice(text.as_bytes());
-        self.0.write_all(&frame).await.context(BrokenSnafu)
+        self.0.write_all(&frame).await.context(IoSnafu)
     }
 }
 
-impl TransportSenderT for QuestionWriter {
-    type Error = QuestionError;
+impl TransportSenderT for RpcWriter {
+    type Error = TransportError;
 
-    async fn send(&mut self, msg: String) -> Result<(), QuestionError> {
+    async fn send(&mut self, msg: String) -> Result<(), TransportError> {
         self.write(&msg).await
     }
 }
 
-struct QuestionReader(OwnedReadHalf);
+struct RpcReader(OwnedReadHalf);
 
-impl QuestionReader {
-    async fn read(&mut self) -> Result<String, QuestionError> {
+impl RpcReader {
+    async fn read(&mut self) -> Result<String, TransportError> {
         let mut prefix = [0; codec::LENGTH_BYTES];
-        self.0.read_exact(&mut prefix).await.context(BrokenSnafu)?;
+        self.0.read_exact(&mut prefix).await.context(IoSnafu)?;
         let size = codec::frame_length(prefix).context(TooLargeSnafu)?;
         let mut body = vec![0; size];
-        self.0.read_exact(&mut body).await.context(BrokenSnafu)?;
-        String::from_utf8(body).context(NoTextSnafu)
+        self.0.read_exact(&mut body).await.context(IoSnafu)?;
+        String::from_utf8(body).context(InvalidTextSnafu)
     }
 }
 
-impl TransportReceiverT for QuestionReader {
-    type Error = QuestionError;
+impl TransportReceiverT for RpcReader {
+    type Error = TransportError;
 
-    async fn receive(&mut self) -> Result<ReceivedMessage, QuestionError> {
+    async fn receive(&mut self) -> Result<ReceivedMessage, TransportError> {
         self.read().await.map(ReceivedMessage::Text)
     }
 }
--- a/crates/daemon/src/store_task.rs
+++ b/crates/daemon/src/store_task.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the log of the control group.
+//! The thread that writes the replicated log of the control group.
 
 use std::sync::mpsc;
 
@@ -7,39 +7,39 @@
 
 use crate::disk_writer;
 
-/// A handle to the thread.
+/// Handle to the writer thread.
 #[derive(Debug, Clone)]
 pub struct StoreHandle {
     batches: mpsc::Sender<replication::PersistBatch>,
 }
 
 impl StoreHandle {
-    /// A handle and the end that [`run`] takes.
+    /// Returns a handle, and the receiver for [`run`].
     pub fn new() -> (Self, mpsc::Receiver<replication::PersistBatch>) {
         let (batches, receiver) = mpsc::channel();
         (Self { batches }, receiver)
     }
 
-    /// Hands a batch over; the sync is reported as an event.
+    /// Queues a batch. The thread reports an event once the batch is synced to disk.
     pub fn persist(&self, batch: replication::PersistBatch) {
-        // The thread ends with its last handle only.
+        // The thread runs for as long as a handle exists, so that sending can't fail.
         drop(self.batches.send(batch));
     }
 }
 
-/// Writes batches until the handle is gone. After a failure nothing is acknowledged until everything
-/// is written anew.
+/// Writes batches until all handles are dropped. After a failure nothing is acknowledged until the
+/// whole log has been rewritten.
 pub fn run(
     mut store: Box<dyn LogStore>,
     batches: &mpsc::Receiver<replication::PersistBatch>,
     report: impl Fn(replication::ReplicationEvent),
 ) {
-    let report = |told| {
-        report(match told {
-            disk_writer::WriteReport::Kept(batch) => {
+    let report = |result| {
+        report(match result {
+            disk_writer::WriteResult::Persisted(batch) => {
                 replication::ReplicationEvent::Persisted { batch }
             }
-            disk_writer::WriteReport::Failed => replication::ReplicationEvent::StoreFailed,
+            disk_writer::WriteResult::Failed => replication::ReplicationEvent::StoreFailed,
         });
     };
     disk_writer::run("log", batches, |group| store.write(group), report);
