--- a/benches/calls.rs
+++ b/benches/calls.rs
@@ -38,7 +38,7 @@
     let request: hazeltiller_units::ids::RequestId = "0-1".parse().expect("it is a name");
     let began = std::time::Instant::now();
     for _ in 0..NOTES {
-        timeline.note(engine_timeline::TimelineEvent::CallAnswered {
+        timeline.record(engine_timeline::TimelineEvent::CallAnswered {
             request: request.clone(),
             status: 200,
             took_us: 1,
@@ -48,7 +48,7 @@
     let metrics = metrics::ProcessMetrics::default();
     let began = std::time::Instant::now();
     for _ in 0..NOTES {
-        metrics.note_event(Duration::from_micros(1));
+        metrics.record_event(Duration::from_micros(1));
     }
     let count_ns = began.elapsed().as_nanos() / u128::from(NOTES);
     println!(
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -216,19 +216,19 @@
     http::strip_internal_headers(&mut parts.headers);
     let stripped_head = context.dialects.calls.read_head(&parts.headers);
     if stripped_head.map_or(true, |head| head.request.as_ref() != Some(&id)) {
-        trace::label(&mut parts.headers, &id);
+        trace::set_request_id(&mut parts.headers, &id);
     }
     let replay_limit = context.request_tunables.replay_bytes;
     let length = body.size_hint().exact();
     let source =
         replay::BodySource::new(limit_body_size(body, max_body_bytes), replay_limit as usize);
     let read = match length {
-        Some(length) if length <= replay_limit => source.read_whole().await,
-        None if is_chunked => source.read_first().await,
+        Some(length) if length <= replay_limit => source.buffer_all().await,
+        None if is_chunked => source.buffer_first_frame().await,
         _ => Ok(()),
     };
     read.map_err(|_broken| {
-        if source.is_over_limit() {
+        if source.exceeds_limit() {
             wire::CallRefusal::not_run(code::ResultCode::BodyOverLimit)
         } else {
             malformed()
@@ -236,7 +236,7 @@
     })?;
     let body = length
         .filter(|length| *length <= replay_limit)
-        .map(|_| source.kept());
+        .map(|_| source.buffered_frames());
     arrival.fingerprint = head::request_fingerprint(&parts, arrival.key.as_deref(), body);
     Ok(CallerRequest {
         context: Arc::clone(context),
@@ -319,7 +319,7 @@
         };
         let mut started_response = None;
         let mut may_have_run = false;
-        let sent_bytes = self.source.kept_bytes();
+        let sent_bytes = self.source.buffered_bytes();
         while let Some(effect) = effects.recv().await {
             match effect {
                 calls::CallEffect::Attempt(_, plan) => {
@@ -329,7 +329,7 @@
                     };
                     let (attempt, mut report) =
                         attempt::make_attempt(context, &plan, self.parts.clone(), body).await;
-                    if attempt.is_err() && self.source.is_broken() {
+                    if attempt.is_err() && self.source.has_failed() {
                         return Err(request_body_error(&self.source));
                     }
                     report.bytes += sent_bytes;
@@ -392,7 +392,7 @@
 /// Returns the refusal of a call whose request body failed after part of it was sent. Whether the
 /// target ran the call is unknown.
 fn request_body_error(source: &replay::BodySource) -> wire::CallRefusal {
-    wire::CallRefusal::unknown(if source.is_over_limit() {
+    wire::CallRefusal::unknown(if source.exceeds_limit() {
         code::ResultCode::BodyOverLimit
     } else {
         code::ResultCode::RequestMalformed
--- a/crates/daemon/src/callers/attempt.rs
+++ b/crates/daemon/src/callers/attempt.rs
@@ -31,11 +31,11 @@
         owner::serve_local(Arc::clone(context), plan.offer.clone(), request).await
     } else {
         prepare_offer(&mut request, plan);
-        trace::send_clock(&context.clock, request.headers_mut());
+        trace::set_clock(&context.clock, request.headers_mut());
         let sending = context.nodes.send(plan.candidate.address, request);
         match time::timeout(time_left + DEADLINE_GRACE, sending).await {
             Ok(Ok(mut response)) => {
-                trace::take_clock(&context.clock, response.headers_mut());
+                trace::merge_clock(&context.clock, response.headers_mut());
                 response.map(http::stream_body)
             }
             Ok(Err(pool::SendError::NotConnected { .. })) => {
--- a/crates/daemon/src/dialect/native.rs
+++ b/crates/daemon/src/dialect/native.rs
@@ -29,7 +29,7 @@
             .map_err(|_no_number| HeaderError)?;
         let attempt = single_value(headers, wire::ATTEMPT_HEADER)?;
         Ok(CallHead {
-            request: trace::read(headers),
+            request: trace::request_id(headers),
             deadline_left: deadline.map(Duration::from_millis),
             key: single_value(headers, wire::KEY_HEADER)?.map(Into::into),
             attempt: attempt.and_then(|value| value.parse().ok()),
@@ -51,7 +51,7 @@
     }
 
     fn set_caller_headers(&self, headers: &mut HeaderMap, request: &ids::RequestId) {
-        trace::label(headers, request);
+        trace::set_request_id(headers, request);
     }
 
     fn refuse(
@@ -60,7 +60,7 @@
         request: &ids::RequestId,
     ) -> Response<bodies::StreamBody> {
         let mut response = bodies::refusal_response(refusal);
-        trace::label(response.headers_mut(), request);
+        trace::set_request_id(response.headers_mut(), request);
         response
     }
 }
--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -130,7 +130,7 @@
                 effects,
             } => {
                 self.calls.insert(call, effects);
-                self.sinks.observer.open(call, request, &event);
+                self.sinks.observer.call_opened(call, request, &event);
                 self.reduce(event::Event::Calls(event));
             }
             EngineInput::Propose {
@@ -170,7 +170,7 @@
 
     fn reduce(&mut self, event: event::Event) {
         let finished_call = ended_call(&event);
-        self.sinks.observer.event(&self.state, &event);
+        self.sinks.observer.before_event(&self.state, &event);
         let event_time = self.started_at.elapsed();
         let now = time::MonotonicTime(event_time.as_micros() as u64);
         for effect in reducer::reduce(&mut self.state, now, event) {
@@ -180,11 +180,11 @@
             self.calls.swap_remove(&call);
         }
         let duration = self.started_at.elapsed().saturating_sub(event_time);
-        self.sinks.observer.reduced(duration);
+        self.sinks.observer.after_event(duration);
     }
 
     fn run_effect(&mut self, effect: event::Effect) {
-        self.sinks.observer.effect(&self.state, &effect);
+        self.sinks.observer.before_effect(&self.state, &effect);
         match effect {
             event::Effect::Send { to, message } => {
                 let clock = self.sinks.clock.tick();
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -115,7 +115,7 @@
 }
 
 /// Notifies the reducer of lost links until the table is dropped.
-pub async fn report_losses(
+pub async fn report_lost_links(
     mut lost_links: mpsc::UnboundedReceiver<SocketAddr>,
     engine: engine_actor::EngineHandle,
 ) {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -165,7 +165,7 @@
     }
 
     /// Notes an event that the reducer took.
-    pub fn note_event(&self, took: Duration) {
+    pub fn record_event(&self, took: Duration) {
         self.events.with_label_values::<&str>(&[]).inc();
         let micros = took.as_micros() as u64;
         self.busy.with_label_values::<&str>(&[]).inc_by(micros);
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -70,7 +70,12 @@
     }
 
     /// Sees a call before its first event.
-    pub fn open(&mut self, call: ids::CallId, request: ids::RequestId, event: &calls::CallEvent) {
+    pub fn call_opened(
+        &mut self,
+        call: ids::CallId,
+        request: ids::RequestId,
+        event: &calls::CallEvent,
+    ) {
         let is_ingress = matches!(event, calls::CallEvent::Arrived(_));
         let began = Instant::now();
         let open = OpenCall {
@@ -90,12 +95,12 @@
     }
 
     /// Sees that an event was reduced and its effects were run.
-    pub fn reduced(&self, took: Duration) {
-        self.metrics.note_event(took);
+    pub fn after_event(&self, took: Duration) {
+        self.metrics.record_event(took);
     }
 
     /// Sees an event before it is reduced.
-    pub fn event(&mut self, state: &reducer::EngineState, event: &event::Event) {
+    pub fn before_event(&mut self, state: &reducer::EngineState, event: &event::Event) {
         match event {
             event::Event::Tick => {
                 self.fleet.look(state, &self.timeline);
@@ -117,7 +122,7 @@
     }
 
     /// Sees an effect before it is run.
-    pub fn effect(&mut self, state: &reducer::EngineState, effect: &event::Effect) {
+    pub fn before_effect(&mut self, state: &reducer::EngineState, effect: &event::Effect) {
         match effect {
             event::Effect::Replication(replication::ReplicationEffect::Answer {
                 number,
@@ -126,12 +131,12 @@
             event::Effect::Replication(replication::ReplicationEffect::Report {
                 code,
                 message,
-            }) => self.timeline.note(TimelineEvent::LogReported {
+            }) => self.timeline.record(TimelineEvent::LogReported {
                 code: *code,
                 message: message.clone(),
             }),
             event::Effect::Dissemination(dissemination::DisseminationEffect::InForce { state }) => {
-                self.timeline.note(TimelineEvent::VersionInForce {
+                self.timeline.record(TimelineEvent::VersionInForce {
                     version: state.version,
                     digest: state.digest,
                 });
@@ -139,7 +144,7 @@
             event::Effect::Dissemination(dissemination::DisseminationEffect::InvalidUpdate {
                 from,
                 held,
-            }) => self.timeline.note(TimelineEvent::VersionRefused {
+            }) => self.timeline.record(TimelineEvent::VersionRefused {
                 from: from.clone(),
                 held: *held,
                 code: code::ResultCode::DigestMismatch,
@@ -147,17 +152,17 @@
             event::Effect::Dissemination(dissemination::DisseminationEffect::ParentLost {
                 address,
                 reason,
-            }) => self.timeline.note(TimelineEvent::ParentLost {
+            }) => self.timeline.record(TimelineEvent::ParentLost {
                 parent: *address,
                 reason: reason.as_str().into(),
             }),
             event::Effect::Membership(membership::MembershipEffect::Withdraw(target)) => {
                 let target = target.clone();
                 self.timeline
-                    .note(TimelineEvent::TargetWithdrawn { target });
+                    .record(TimelineEvent::TargetWithdrawn { target });
             }
             event::Effect::Calls(effect) => self.call_effect(state, effect),
-            event::Effect::Note(event) => self.timeline.note(event.clone()),
+            event::Effect::Note(event) => self.timeline.record(event.clone()),
             _ => {}
         }
     }
@@ -165,7 +170,7 @@
     fn proposed(&mut self, proposal: &replication::ChangeProposal) {
         let change = proposal.request.change_id.clone();
         self.changes.insert(proposal.number.0, change.clone());
-        self.timeline.note(TimelineEvent::ChangeProposed {
+        self.timeline.record(TimelineEvent::ChangeProposed {
             change,
             expects: proposal.request.expects,
         });
@@ -193,7 +198,7 @@
             replication::ProposalAnswer::GroupChanged(_)
             | replication::ProposalAnswer::Current { .. } => return,
         };
-        self.timeline.note(event);
+        self.timeline.record(event);
     }
 
     fn call_event(&mut self, event: &calls::CallEvent, version: ids::CatalogueVersion) {
@@ -297,7 +302,7 @@
         let Some(mut open) = self.calls.swap_remove(&call) else {
             return;
         };
-        let last = last.map(|event| self.timeline.keep(event));
+        let last = last.map(|event| self.timeline.record_unlogged(event));
         open.records.extend(last);
         self.timeline.log_request(&open.records);
     }
@@ -466,7 +471,7 @@
         event: impl FnOnce(ids::RequestId) -> TimelineEvent,
     ) {
         if let Some(open) = self.calls.get_mut(&call) {
-            let record = self.timeline.keep(event(open.request.clone()));
+            let record = self.timeline.record_unlogged(event(open.request.clone()));
             open.records.push(record);
         }
     }
--- a/crates/daemon/src/observer/fleet.rs
+++ b/crates/daemon/src/observer/fleet.rs
@@ -39,7 +39,7 @@
         }
         self.leader = view.leader;
         let term = view.term;
-        timeline.note(match view.leader {
+        timeline.record(match view.leader {
             Some(leader) => TimelineEvent::LeaderKnown { term, leader },
             None => TimelineEvent::LeaderLost { term },
         });
@@ -51,7 +51,7 @@
         let (alive, majority) = (view.alive_voters(), view.majority());
         let silent = voters_that(view, replication::VoterView::is_silent);
         for voter in silent.difference(&self.silent_voters).cloned() {
-            timeline.note(TimelineEvent::VoterSilent {
+            timeline.record(TimelineEvent::VoterSilent {
                 voter,
                 alive,
                 majority,
@@ -59,7 +59,7 @@
         }
         let answering = voters_that(view, replication::VoterView::is_answering);
         for voter in self.silent_voters.intersection(&answering).cloned() {
-            timeline.note(TimelineEvent::VoterBack {
+            timeline.record(TimelineEvent::VoterBack {
                 voter,
                 alive,
                 majority,
@@ -85,7 +85,7 @@
             };
             if self.views.insert(name.clone(), view) != Some(view) {
                 let member = name.clone();
-                timeline.note(TimelineEvent::MemberChanged { member, view });
+                timeline.record(TimelineEvent::MemberChanged { member, view });
             }
         }
     }
@@ -93,14 +93,14 @@
     /// Notes that something came again over a lost link.
     pub(super) fn heard(&mut self, address: SocketAddr, timeline: &timeline::Timeline) {
         if self.lost_links.swap_remove(&address) {
-            timeline.note(TimelineEvent::LinkBack { address });
+            timeline.record(TimelineEvent::LinkBack { address });
         }
     }
 
     /// Notes a lost link once, however often it is tried again.
     pub(super) fn lost(&mut self, address: SocketAddr, timeline: &timeline::Timeline) {
         if self.lost_links.insert(address) {
-            timeline.note(TimelineEvent::LinkLost { address });
+            timeline.record(TimelineEvent::LinkLost { address });
         }
     }
 }
--- a/crates/daemon/src/observer/usage.rs
+++ b/crates/daemon/src/observer/usage.rs
@@ -147,7 +147,7 @@
         troubled.sort_by_key(|(_, usage)| std::cmp::Reverse(usage.refused + usage.declined));
         troubled.truncate(MOST_LINES);
         for (route, usage) in troubled {
-            timeline.note(engine_timeline::TimelineEvent::RouteUsage { route, usage });
+            timeline.record(engine_timeline::TimelineEvent::RouteUsage { route, usage });
         }
     }
 }
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -45,13 +45,13 @@
     let offer = terms
         .zip(sent)
         .map(|(terms, sent)| receive_offer(transit, terms, sent));
-    trace::take_clock(&context.clock, request.headers_mut());
+    trace::merge_clock(&context.clock, request.headers_mut());
     let Some(offer) = offer else {
         return offer_refusal(&not_run(code::ResultCode::MessageInvalid));
     };
     let clock = context.clock.clone();
     let mut response = serve_local(context, offer, request.map(http::stream_body)).await;
-    trace::send_clock(&clock, response.headers_mut());
+    trace::set_clock(&clock, response.headers_mut());
     response
 }
 
@@ -115,7 +115,7 @@
 /// new one.
 fn request_id(context: &process::ProcessContext, headers: &HeaderMap) -> ids::RequestId {
     let named = || context.dialects.calls.read_head(headers).ok()?.request;
-    let id = trace::read(headers).or_else(named);
+    let id = trace::request_id(headers).or_else(named);
     id.unwrap_or_else(|| context.request_ids.new_id())
 }
 
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -288,7 +288,7 @@
         clock.clone(),
         &settings.tunables.timeline,
     );
-    timeline.note(engine_timeline::TimelineEvent::ProcessStarted {
+    timeline.record(engine_timeline::TimelineEvent::ProcessStarted {
         incarnation: credentials.identity.incarnation,
     });
     let bytes = byte_counts::ByteCounts::default();
@@ -308,7 +308,7 @@
     let engine = engine_actor::EngineHandle::start(state, sinks);
     let guard = registry.guard(critical_tasks::CriticalTask::Reducer);
     tokio::spawn(engine.clone().hold_until_shutdown(guard));
-    tokio::spawn(links::report_losses(losses, engine.clone()));
+    tokio::spawn(links::report_lost_links(losses, engine.clone()));
     tokio::spawn(probe::run(probe_plans, engine.clone()));
     if let Some(file) = store {
         let engine = engine.clone();
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -15,7 +15,7 @@
 
 /// The file as the process has taken it.
 #[derive(Debug, Clone)]
-pub struct TakenFile {
+pub struct LoadedFile {
     /// Where it is.
     pub path: PathBuf,
     /// Its text when it was read. It may be another one by the time that the watch begins.
@@ -27,10 +27,10 @@
 /// Watches the file until the process stops.
 pub async fn watch(
     context: Arc<process::ProcessContext>,
-    file: TakenFile,
+    file: LoadedFile,
     mut hangups: unix::Signal,
 ) {
-    let TakenFile {
+    let LoadedFile {
         path,
         mut text,
         settings: mut current,
--- a/crates/daemon/src/replay.rs
+++ b/crates/daemon/src/replay.rs
@@ -59,35 +59,35 @@
     }
 
     /// Reads the first piece, so that a body that is broken from the start is never sent on.
-    pub async fn read_first(&self) -> Result<(), http::BodyError> {
+    pub async fn buffer_first_frame(&self) -> Result<(), http::BodyError> {
         std::future::poll_fn(|cx| self.state().poll_read(cx)).await
     }
 
     /// Reads the whole body; the caller has checked that its length is within the bound.
-    pub async fn read_whole(&self) -> Result<(), http::BodyError> {
+    pub async fn buffer_all(&self) -> Result<(), http::BodyError> {
         while !self.state().is_ended {
-            self.read_first().await?;
+            self.buffer_first_frame().await?;
         }
         Ok(())
     }
 
     /// The pieces that are kept.
-    pub fn kept(&self) -> Vec<Bytes> {
+    pub fn buffered_frames(&self) -> Vec<Bytes> {
         self.state().kept.clone()
     }
 
     /// Bytes that have been read of it so far and are kept.
-    pub fn kept_bytes(&self) -> u64 {
+    pub fn buffered_bytes(&self) -> u64 {
         self.state().kept_bytes as u64
     }
 
     /// Whether the caller's side broke off or sent what is no body.
-    pub fn is_broken(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.state().is_broken
     }
 
     /// Whether it broke off because it was larger than its limit.
-    pub fn is_over_limit(&self) -> bool {
+    pub fn exceeds_limit(&self) -> bool {
         self.state().is_over_limit
     }
 
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -165,13 +165,13 @@
     }
 
     /// Notes an event and logs it.
-    pub fn note(&self, event: timeline::TimelineEvent) {
-        let record = self.keep(event);
+    pub fn record(&self, event: timeline::TimelineEvent) {
+        let record = self.record_unlogged(event);
         self.log(&record);
     }
 
     /// Notes an event; whether it is logged is seen when its request has ended.
-    pub fn keep(&self, event: timeline::TimelineEvent) -> TimelineRecord {
+    pub fn record_unlogged(&self, event: timeline::TimelineEvent) -> TimelineRecord {
         let at = self.clock.tick();
         let mut state = self.lock();
         state.last += 1;
--- a/crates/daemon/src/trace.rs
+++ b/crates/daemon/src/trace.rs
@@ -33,7 +33,7 @@
 impl RequestIds {
     /// The id of a caller's request: its own, or a new one.
     pub fn of(&self, headers: &HeaderMap) -> ids::RequestId {
-        read(headers).unwrap_or_else(|| self.new_id())
+        request_id(headers).unwrap_or_else(|| self.new_id())
     }
 
     /// A new id.
@@ -45,7 +45,7 @@
 }
 
 /// The id in headers.
-pub fn read(headers: &HeaderMap) -> Option<ids::RequestId> {
+pub fn request_id(headers: &HeaderMap) -> Option<ids::RequestId> {
     headers
         .get(wire::REQUEST_HEADER)?
         .to_str()
@@ -55,7 +55,7 @@
 }
 
 /// Puts an id into headers, in place of any other.
-pub fn label(headers: &mut HeaderMap, request: &ids::RequestId) {
+pub fn set_request_id(headers: &mut HeaderMap, request: &ids::RequestId) {
     let value = header::HeaderValue::from_str(request.as_str());
     let value = value.expect("a name is a header's value");
     headers.insert(wire::REQUEST_HEADER, value);
@@ -69,13 +69,13 @@
 }
 
 /// Puts the time into the headers of what is sent to another node.
-pub fn send_clock(clock: &timeline::HybridClock, headers: &mut HeaderMap) {
+pub fn set_clock(clock: &timeline::HybridClock, headers: &mut HeaderMap) {
     let value = http::unindexed_value(&clock.tick());
     headers.insert(wire::CLOCK_HEADER, value);
 }
 
 /// Takes the time off the headers of what came from another node.
-pub fn take_clock(clock: &timeline::HybridClock, headers: &mut HeaderMap) {
+pub fn merge_clock(clock: &timeline::HybridClock, headers: &mut HeaderMap) {
     let sent = http::take_record(headers, wire::CLOCK_HEADER);
     if let Some(sent) = sent {
         clock.merge(sent);
--- a/src/hazeltillerd.rs
+++ b/src/hazeltillerd.rs
@@ -85,20 +85,20 @@
     }
 }
 
-fn read_settings(path: PathBuf) -> Result<reload::TakenFile, Vec<settings::fault::SettingsFault>> {
+fn read_settings(path: PathBuf) -> Result<reload::LoadedFile, Vec<settings::fault::SettingsFault>> {
     let text = std::fs::read_to_string(&path).map_err(|error| {
         let message = format!("{}: {error}", path.display());
         vec![settings::fault::SettingsFault::unreadable(message)]
     })?;
     let settings = settings::ProcessSettings::parse(&text)?;
-    Ok(reload::TakenFile {
+    Ok(reload::LoadedFile {
         path,
         text,
         settings,
     })
 }
 
-async fn run(file: reload::TakenFile, options: process::StartOptions) -> ExitCode {
+async fn run(file: reload::LoadedFile, options: process::StartOptions) -> ExitCode {
     // Before anything else, since the signal would end the process.
     let hangups =
         unix::signal(unix::SignalKind::hangup()).expect("a handler for SIGHUP can be set at start");
@@ -125,7 +125,7 @@
         }
     }
     let stopping = timeline::TimelineEvent::ProcessStopping;
-    running.context.timeline.note(stopping);
+    running.context.timeline.record(stopping);
     drain::stop(&running.context).await;
     logging::finish();
     ExitCode::SUCCESS
