--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -9,7 +9,7 @@
 /// Sets every gauge from the state.
 ///
 /// Gauges by name are cleared first, so that what is gone leaves no figure behind.
-pub fn read(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
+pub fn update(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
     read_targets(state, metrics);
     read_catalogue(state, metrics);
     read_members(state, metrics);
@@ -125,7 +125,7 @@
 }
 
 /// Sets the counts of bytes, which are kept elsewhere.
-pub fn read_bytes(counts: &byte_counts::ByteCounts, metrics: &metrics::ProcessMetrics) {
+pub fn update_byte_counters(counts: &byte_counts::ByteCounts, metrics: &metrics::ProcessMetrics) {
     metrics.sent_bytes.reset();
     for (peer, reasons) in counts.links() {
         let peer = peer.to_string();
--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -26,7 +26,7 @@
         source: std::io::Error,
     },
     /// A frame could not be decoded.
-    #[snafu(display("invalid frame: {source}"))]
+    #[snafu(display("{source}"))]
     Decode {
         /// Cause.
         source: codec::CodecError,
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,12 +1,12 @@
-//! The operators listener: one page a file beside this one.
+//! The HTTP listener for operators. Each submodule serves one group of endpoints.
 
 mod catalogue;
 mod changes;
 mod control;
 mod fleet;
+mod observability;
 mod revision;
 mod rollouts;
-mod seeing;
 mod status;
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc};
@@ -20,9 +20,9 @@
 
 use crate::{http, listener, process};
 
-/// Answer to a refused change.
+/// Response to a rejected request.
 #[derive(Debug, Serialize)]
-struct RefusedChange {
+struct RejectionDocument {
     code: code::ResultCode,
     outcome: &'static str,
     message: String,
@@ -37,20 +37,21 @@
         let context = Arc::clone(&context);
         let service = service::service_fn(move |request| {
             let context = Arc::clone(&context);
-            async move { Ok::<_, Infallible>(answer(&context, from, request).await) }
+            async move { Ok::<_, Infallible>(route(&context, from, request).await) }
         });
         tokio::spawn(async move {
             let served = http1::Builder::new()
                 .serve_connection(rt::TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
-                log::debug!("operator's connection ended: {error}");
+                log::debug!("operator connection failed: {error}");
             }
         });
     }
 }
 
-async fn answer(
+/// Routes a request to the handler of its endpoint.
+async fn route(
     context: &process::ProcessContext,
     from: SocketAddr,
     request: Request<Incoming>,
@@ -59,32 +60,32 @@
     if let Some(dialect) = &context.dialects.operators
         && dialect.serves(&path)
     {
-        return revision::answer(context, dialect.as_ref(), request).await;
+        return revision::handle(context, dialect.as_ref(), request).await;
     }
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (request.method(), parts.as_slice()) {
         (&Method::POST, ["v1", "changes"]) => changes::propose(context, from, request).await,
-        (&Method::GET, ["v1", "changes"]) => changes::history(context).await,
-        (&Method::GET, ["v1", "changes", id]) => changes::one_change(context, id).await,
-        (&Method::GET, ["v1", "revision"]) => changes::revision(context).await,
-        (&Method::GET, ["v1", "control"]) => control::show(context).await,
+        (&Method::GET, ["v1", "changes"]) => changes::list(context).await,
+        (&Method::GET, ["v1", "changes", id]) => changes::get(context, id).await,
+        (&Method::GET, ["v1", "revision"]) => changes::get_revision(context).await,
+        (&Method::GET, ["v1", "control"]) => control::get(context).await,
         (&Method::POST, ["v1", "control"]) => control::change(context, from, request).await,
-        (&Method::GET, ["v1", "catalogue"]) => catalogue::whole(context),
-        (&Method::GET, ["v1", "catalogue", kind, name]) => {
-            catalogue::one_entry(context, kind, name)
-        }
+        (&Method::GET, ["v1", "catalogue"]) => catalogue::list(context),
+        (&Method::GET, ["v1", "catalogue", kind, name]) => catalogue::get(context, kind, name),
         (&Method::GET, ["v1", "rollouts"]) => rollouts::list(context).await,
-        (&Method::GET, ["v1", "rollouts", service]) => rollouts::one(context, service).await,
-        (&Method::GET, ["metrics"]) => seeing::metrics(context).await,
-        (&Method::GET, ["v1", "timeline"]) => seeing::timeline(context, request.uri().query()),
-        (&Method::GET, ["v1", "status"]) => status::status(context).await,
-        (&Method::GET, ["v1", "targets"]) => fleet::targets(context).await,
+        (&Method::GET, ["v1", "rollouts", service]) => rollouts::get(context, service).await,
+        (&Method::GET, ["metrics"]) => observability::metrics(context).await,
+        (&Method::GET, ["v1", "timeline"]) => {
+            observability::timeline(context, request.uri().query())
+        }
+        (&Method::GET, ["v1", "status"]) => status::get(context).await,
+        (&Method::GET, ["v1", "targets"]) => fleet::list_targets(context).await,
         (&Method::GET, ["v1", "convergence", version]) => {
             fleet::convergence(context, version).await
         }
         _ => {
             let message = format!("there is nothing at {path}");
-            refusal(
+            not_run_response(
                 StatusCode::NOT_FOUND,
                 code::ResultCode::EntryNotFound,
                 message,
@@ -93,15 +94,15 @@
     }
 }
 
-/// A refusal of what was not run.
-fn refusal(
+/// Returns the response to a request that was rejected without any effect.
+fn not_run_response(
     status: StatusCode,
     code: code::ResultCode,
     message: String,
 ) -> Response<http::StreamBody> {
     let version = ids::CatalogueVersion::default();
     let faults = Vec::new();
-    let document = RefusedChange {
+    let document = RejectionDocument {
         code,
         outcome: "not-run",
         message,
--- a/crates/daemon/src/operators/catalogue.rs
+++ b/crates/daemon/src/operators/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue in force here, whole or one entry.
+//! Reads of the catalogue in force on this process.
 
 use hazeltiller_catalogue::entry;
 use hazeltiller_units::{code, ids};
@@ -7,7 +7,7 @@
 
 use crate::{http, process};
 
-/// The catalogue as it is read.
+/// The whole catalogue.
 #[derive(Debug, Serialize)]
 struct CatalogueDocument {
     version: ids::CatalogueVersion,
@@ -15,8 +15,8 @@
     entries: Vec<entry::CatalogueEntry>,
 }
 
-/// Gives the whole catalogue.
-pub(super) fn whole(context: &process::ProcessContext) -> Response<http::StreamBody> {
+/// Returns the whole catalogue.
+pub(super) fn list(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let state = context.in_force.borrow().clone();
     let document = CatalogueDocument {
         version: state.version,
@@ -26,8 +26,8 @@
     http::json_response(StatusCode::OK, &document)
 }
 
-/// Gives one entry.
-pub(super) fn one_entry(
+/// Returns one entry.
+pub(super) fn get(
     context: &process::ProcessContext,
     kind: &str,
     name: &str,
@@ -39,7 +39,7 @@
         Some(entry) => http::json_response(StatusCode::OK, &entry),
         None => {
             let message = format!("there is no {kind} {name}");
-            super::refusal(
+            super::not_run_response(
                 StatusCode::NOT_FOUND,
                 code::ResultCode::EntryNotFound,
                 message,
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the catalogue: who may send one, what it is answered, which were accepted.
+//! Changes of the catalogue: authentication, proposals and the history of accepted changes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,11 +13,12 @@
 
 use crate::{http, process, questions};
 
-/// Largest change, in bytes: the largest document and as much for its entries.
-const LARGEST_CHANGE: usize = 2 * hazeltiller_wire::document::LARGEST_DOCUMENT;
+/// Largest body of a change, in bytes: a document of the largest size, and as much for the entries
+/// that it is translated into.
+const MAX_CHANGE_BYTES: usize = 2 * hazeltiller_wire::document::LARGEST_DOCUMENT;
 const BEARER_PREFIX: &str = "Bearer ";
 
-/// An accepted change as it is listed.
+/// An accepted change.
 #[derive(Debug, Serialize)]
 struct AcceptedDocument {
     version: ids::CatalogueVersion,
@@ -26,13 +27,13 @@
     operator: Option<ids::OperatorName>,
 }
 
-/// The accepted changes that are remembered.
+/// The accepted changes that are retained.
 #[derive(Debug, Serialize)]
 struct HistoryDocument {
     changes: Vec<AcceptedDocument>,
 }
 
-/// The revision in place.
+/// The current revision.
 #[derive(Debug, Serialize)]
 struct RevisionDocument {
     version: ids::CatalogueVersion,
@@ -40,34 +41,36 @@
     revision: change::CatalogueRevision,
 }
 
-/// Gives the revision in place, proven to be so by a majority.
-pub(super) async fn revision(context: &process::ProcessContext) -> Response<http::StreamBody> {
-    let here = context.engine.read_revision();
-    answer_response(settle(context, here, questions::LeaderRequest::Revision).await)
+/// Returns the current revision, confirmed by a majority of the voters.
+pub(super) async fn get_revision(context: &process::ProcessContext) -> Response<http::StreamBody> {
+    let local_answer = context.engine.read_revision();
+    proposal_response(
+        answer_or_forward(context, local_answer, questions::LeaderRequest::Revision).await,
+    )
 }
 
-/// Takes a change.
+/// Proposes a change.
 pub(super) async fn propose(
     context: &process::ProcessContext,
     from: SocketAddr,
     request: Request<Incoming>,
 ) -> Response<http::StreamBody> {
-    let author = match author(context, from, request.headers()) {
+    let author = match authenticate(context, from, request.headers()) {
         Ok(author) => author,
-        Err(code) => return refused(code, Vec::new(), ids::CatalogueVersion::default()),
+        Err(code) => return refusal_response(code, Vec::new(), ids::CatalogueVersion::default()),
     };
     let request: change::ChangeRequest = match read_body(request).await {
         Ok(request) => request,
-        Err(fault) => return fault.response(),
+        Err(error) => return error.into_response(),
     };
     let change = questions::ForwardedChange { author, request };
-    let question = questions::LeaderRequest::Propose(change.clone());
-    let here = context.engine.propose(change.into_proposal());
-    answer_response(settle(context, here, question).await)
+    let forwarded = questions::LeaderRequest::Propose(change.clone());
+    let local_answer = context.engine.propose(change.into_proposal());
+    proposal_response(answer_or_forward(context, local_answer, forwarded).await)
 }
 
 /// Lists the accepted changes.
-pub(super) async fn history(context: &process::ProcessContext) -> Response<http::StreamBody> {
+pub(super) async fn list(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let document = context.engine.inspect(|state| {
         let replication = state.replication.as_ref()?;
         let changes = replication.history().map(accepted_document).collect();
@@ -75,27 +78,24 @@
     });
     match document.await.flatten() {
         Some(document) => http::json_response(StatusCode::OK, &document),
-        None => not_control(),
+        None => not_control_response(),
     }
 }
 
-/// Gives one accepted change.
-pub(super) async fn one_change(
-    context: &process::ProcessContext,
-    id: &str,
-) -> Response<http::StreamBody> {
+/// Returns one accepted change.
+pub(super) async fn get(context: &process::ProcessContext, id: &str) -> Response<http::StreamBody> {
     let Ok(id) = id.parse::<ids::ChangeId>() else {
-        return not_found(id);
+        return not_found_response(id);
     };
-    let wanted = id.clone();
+    let change_id = id.clone();
     let document = context.engine.inspect(move |state| {
         let replication = state.replication.as_ref()?;
-        Some(replication.accepted(&wanted).map(accepted_document))
+        Some(replication.accepted(&change_id).map(accepted_document))
     });
     match document.await.flatten() {
         Some(Some(document)) => http::json_response(StatusCode::OK, &document),
-        Some(None) => not_found(id.as_str()),
-        None => not_control(),
+        Some(None) => not_found_response(id.as_str()),
+        None => not_control_response(),
     }
 }
 
@@ -108,8 +108,9 @@
     }
 }
 
-/// Who a request is from. Without a token file the machine itself is trusted and nobody else.
-pub(super) fn author(
+/// Returns the author of a request by its bearer token. Without a token file, requests without a
+/// token are trusted if they come from a loopback address.
+pub(super) fn authenticate(
     context: &process::ProcessContext,
     from: SocketAddr,
     headers: &HeaderMap,
@@ -130,54 +131,54 @@
     }
 }
 
-/// Why a body was not read.
-pub(super) struct BodyFault {
+/// A request body that can't be read.
+pub(super) struct BodyError {
     status: StatusCode,
     message: String,
 }
 
-impl BodyFault {
-    /// The answer that says so.
-    pub(super) fn response(self) -> Response<http::StreamBody> {
-        super::refusal(self.status, code::ResultCode::EntryInvalid, self.message)
+impl BodyError {
+    /// Returns the response that reports the error.
+    pub(super) fn into_response(self) -> Response<http::StreamBody> {
+        super::not_run_response(self.status, code::ResultCode::EntryInvalid, self.message)
     }
 }
 
-/// Reads a JSON body, or says what is wrong with it.
+/// Reads and decodes a JSON body.
 pub(super) async fn read_body<T: serde::de::DeserializeOwned>(
     request: Request<Incoming>,
-) -> Result<T, BodyFault> {
-    let fault = |status, message| BodyFault { status, message };
-    let body = Limited::new(request.into_body(), LARGEST_CHANGE);
+) -> Result<T, BodyError> {
+    let body_error = |status, message| BodyError { status, message };
+    let body = Limited::new(request.into_body(), MAX_CHANGE_BYTES);
     let bytes = match body.collect().await {
         Ok(body) => body.to_bytes(),
-        Err(error) => return Err(fault(StatusCode::BAD_REQUEST, error.to_string())),
+        Err(error) => return Err(body_error(StatusCode::BAD_REQUEST, error.to_string())),
     };
     serde_json::from_slice(&bytes)
-        .map_err(|error| fault(StatusCode::UNPROCESSABLE_ENTITY, error.to_string()))
+        .map_err(|error| body_error(StatusCode::UNPROCESSABLE_ENTITY, error.to_string()))
 }
 
-/// Waits for the answer of this control, or of the leader where this one is not it.
-pub(super) async fn settle(
+/// Returns the answer of this control, or forwards the request if another control is the leader.
+pub(super) async fn answer_or_forward(
     context: &process::ProcessContext,
-    here: impl Future<Output = replication::ProposalAnswer>,
-    question: questions::LeaderRequest,
+    local_answer: impl Future<Output = replication::ProposalAnswer>,
+    request: questions::LeaderRequest,
 ) -> replication::ProposalAnswer {
-    let patience = settings::millis(context.operator_timeout_ms);
+    let timeout = settings::millis(context.operator_timeout_ms);
     let unknown = replication::ProposalAnswer::Unknown;
-    let answer = time::timeout(patience, here).await;
+    let answer = time::timeout(timeout, local_answer).await;
     match answer.unwrap_or(unknown) {
         replication::ProposalAnswer::Elsewhere(leader) => {
-            // The leader's own bound comes first, so that its word is heard.
-            let patience = patience + Duration::from_secs(1);
-            questions::call_leader(context, leader, question, patience).await
+            // Longer than the leader's own timeout, so that the leader's answer arrives first.
+            let timeout = timeout + Duration::from_secs(1);
+            questions::call_leader(context, leader, request, timeout).await
         }
         answer => answer,
     }
 }
 
-/// The HTTP answer to a proposal.
-pub(super) fn answer_response(answer: replication::ProposalAnswer) -> Response<http::StreamBody> {
+/// Returns the HTTP response to a proposal.
+pub(super) fn proposal_response(answer: replication::ProposalAnswer) -> Response<http::StreamBody> {
     match answer {
         replication::ProposalAnswer::Accepted(receipt) => {
             http::json_response(StatusCode::OK, &receipt)
@@ -193,15 +194,15 @@
             code,
             version,
             faults,
-        } => refused(code, faults, version),
-        replication::ProposalAnswer::Elsewhere(_) => refused(
+        } => refusal_response(code, faults, version),
+        replication::ProposalAnswer::Elsewhere(_) => refusal_response(
             code::ResultCode::LeaderUnknown,
             Vec::new(),
             ids::CatalogueVersion::default(),
         ),
         replication::ProposalAnswer::Unknown => {
             let code = code::ResultCode::OutcomeUnknown;
-            let document = super::RefusedChange {
+            let document = super::RejectionDocument {
                 code,
                 outcome: "unknown",
                 message: format!("{}; {}", code.meaning(), code.advice()),
@@ -213,7 +214,7 @@
     }
 }
 
-fn refused(
+fn refusal_response(
     code: code::ResultCode,
     faults: Vec<change::CatalogueFault>,
     version: ids::CatalogueVersion,
@@ -235,7 +236,7 @@
         code::ResultCode::OperatorForbidden => StatusCode::FORBIDDEN,
         _ => StatusCode::UNPROCESSABLE_ENTITY,
     };
-    let document = super::RefusedChange {
+    let document = super::RejectionDocument {
         code,
         outcome: "not-run",
         message: format!("{}; {}", code.meaning(), code.advice()),
@@ -245,14 +246,14 @@
     http::json_response(status, &document)
 }
 
-/// The answer of a process without the control role.
-pub(super) fn not_control() -> Response<http::StreamBody> {
+/// Returns the response of a process without the control role.
+pub(super) fn not_control_response() -> Response<http::StreamBody> {
     let code = code::ResultCode::NotControl;
-    super::refusal(StatusCode::SERVICE_UNAVAILABLE, code, code.meaning().into())
+    super::not_run_response(StatusCode::SERVICE_UNAVAILABLE, code, code.meaning().into())
 }
 
-fn not_found(id: &str) -> Response<http::StreamBody> {
+fn not_found_response(id: &str) -> Response<http::StreamBody> {
     let message = format!("there is no accepted change {id}, or it is older than what is kept");
     let code = code::ResultCode::ChangeNotFound;
-    super::refusal(StatusCode::NOT_FOUND, code, message)
+    super::not_run_response(StatusCode::NOT_FOUND, code, message)
 }
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -1,4 +1,4 @@
-//! Members, targets and convergence, as operators read them.
+//! Reads of members, targets and the convergence of versions.
 
 use hazeltiller_engine::{
     dissemination::{self, convergence},
@@ -12,7 +12,7 @@
 
 use crate::{byte_counts, http, process};
 
-/// A member in the status.
+/// A member of the fleet.
 #[derive(Debug, Serialize)]
 struct MemberDocument {
     instance: ids::InstanceName,
@@ -22,28 +22,28 @@
     incarnation: ids::IncarnationNumber,
 }
 
-/// The fleet's part of the status.
+/// Status of the fleet, as part of the status of the process.
 #[derive(Debug, Serialize)]
 pub(super) struct FleetStatus {
     members: usize,
     suspected: usize,
     unreachable: usize,
-    /// Whether a version is in force, or it is proven that there is none yet.
+    /// Whether a version is in force, or it has been proven that none exists yet.
     ready: bool,
-    /// Why nothing is in force yet.
+    /// Why no version is in force yet.
     waiting: Option<String>,
-    /// Parent in the relay tree; null at a control and while there is none.
+    /// Parent in the distribution tree; null on a control and while there is none.
     parent: Option<std::net::SocketAddr>,
-    /// Steps to a control in the relay tree; 0 while there is no way.
+    /// Hops to a control in the distribution tree; 0 while there is no path.
     depth: usize,
-    /// Nodes fed from here.
+    /// Number of children in the distribution tree.
     children: usize,
     bytes: byte_counts::ByteSummary,
     others: Vec<MemberDocument>,
 }
 
 impl FleetStatus {
-    /// Reads it off the state.
+    /// Reads the status from the state of the reducer.
     pub(super) fn of(state: &reducer::EngineState, bytes: byte_counts::ByteSummary) -> Self {
         let others: Vec<MemberDocument> = state
             .membership
@@ -51,10 +51,10 @@
             .map(|member| member_document(state, &member.record))
             .collect();
         let count = |reachability: reach::Reachability| {
-            let word = reachability.word();
+            let label = reachability.word();
             others
                 .iter()
-                .filter(|member| member.reachability == word)
+                .filter(|member| member.reachability == label)
                 .count()
         };
         let parent = &state.dissemination.parent;
@@ -84,7 +84,7 @@
     }
 }
 
-/// A target as this process knows it.
+/// A target as this process sees it.
 #[derive(Debug, Serialize)]
 struct TargetDocument {
     #[serde(flatten)]
@@ -94,14 +94,14 @@
     reachability: &'static str,
 }
 
-/// Every target.
+/// All known targets.
 #[derive(Debug, Serialize)]
 struct TargetList {
     targets: Vec<TargetDocument>,
 }
 
 /// Lists the targets.
-pub(super) async fn targets(context: &process::ProcessContext) -> Response<http::StreamBody> {
+pub(super) async fn list_targets(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let list = context.engine.inspect(|state| {
         let documents = state.membership.present().flat_map(|member| {
             let identity = member.identity.clone();
@@ -118,11 +118,11 @@
     });
     match list.await {
         Some(list) => http::json_response(StatusCode::OK, &list),
-        None => stopping(),
+        None => stopping_response(),
     }
 }
 
-/// A node that does not have a version in force.
+/// A node on which a version is not yet in force.
 #[derive(Debug, Serialize)]
 struct BehindDocument {
     instance: ids::InstanceName,
@@ -130,7 +130,7 @@
     reachability: &'static str,
 }
 
-/// A version's convergence.
+/// Convergence of a version.
 #[derive(Debug, Serialize)]
 struct ConvergenceDocument {
     version: ids::CatalogueVersion,
@@ -159,33 +159,38 @@
     }
 }
 
-/// Tells where a version is in force.
+/// Returns on how many nodes a version is in force and which are behind. Served by controls only.
 pub(super) async fn convergence(
     context: &process::ProcessContext,
     version: &str,
 ) -> Response<http::StreamBody> {
-    let not_found = |message: String| {
+    let not_found_response = |message: String| {
         let code = code::ResultCode::EntryNotFound;
-        super::refusal(StatusCode::NOT_FOUND, code, message)
+        super::not_run_response(StatusCode::NOT_FOUND, code, message)
     };
     if !context.credentials.identity.is_control {
         let code = code::ResultCode::NotControl;
-        return super::refusal(StatusCode::SERVICE_UNAVAILABLE, code, code.meaning().into());
+        return super::not_run_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            code,
+            code.meaning().into(),
+        );
     }
     let Ok(number) = version.parse() else {
-        return not_found(format!("{version} is not a version"));
+        return not_found_response(format!("{version} is not a version"));
     };
     let view = context
         .engine
         .inspect(move |state| convergence::view(state, number));
     match view.await {
         Some(Some(view)) => http::json_response(StatusCode::OK, &ConvergenceDocument::from(view)),
-        Some(None) => not_found(format!("there is no version {version} here")),
-        None => stopping(),
+        Some(None) => not_found_response(format!("there is no version {version} here")),
+        None => stopping_response(),
     }
 }
 
-pub(super) fn stopping() -> Response<http::StreamBody> {
+/// Returns the response of a process that is shutting down.
+pub(super) fn stopping_response() -> Response<http::StreamBody> {
     let code = code::ResultCode::NodeStopping;
-    super::refusal(StatusCode::SERVICE_UNAVAILABLE, code, code.meaning().into())
+    super::not_run_response(StatusCode::SERVICE_UNAVAILABLE, code, code.meaning().into())
 }
--- a/crates/daemon/src/operators/seeing.rs
+++ b/crates/daemon/src/operators/observability.rs
@@ -1,4 +1,4 @@
-//! The time line and the metrics of the process.
+//! The timeline and the metrics of the process.
 
 use std::sync::Arc;
 
@@ -6,9 +6,9 @@
 
 use crate::{gauges, http, process};
 
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Gives the events after the number in `since=`; all where there is none.
+/// Returns the events after the sequence number in the query parameter `since`, by default all.
 pub(super) fn timeline(
     context: &process::ProcessContext,
     query: Option<&str>,
@@ -22,15 +22,17 @@
     http::json_response(StatusCode::OK, &context.timeline.since(since))
 }
 
-/// Gives the metrics.
+/// Returns the metrics in the Prometheus text format.
 pub(super) async fn metrics(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let metrics = Arc::clone(&context.metrics);
-    let read = move |state: &_| gauges::read(state, &metrics);
-    // A process that stops gives what was counted so far.
-    let _: Option<()> = context.engine.inspect(read).await;
-    gauges::read_bytes(&context.bytes, &context.metrics);
+    let update = move |state: &_| gauges::update(state, &metrics);
+    // While the process shuts down the state can't be read, and the last values are returned.
+    let _: Option<()> = context.engine.inspect(update).await;
+    gauges::update_byte_counters(&context.bytes, &context.metrics);
     let mut response = Response::new(http::full_body(context.metrics.render()));
-    let form = header::HeaderValue::from_static(METRICS_TYPE);
-    response.headers_mut().insert(header::CONTENT_TYPE, form);
+    let content_type = header::HeaderValue::from_static(METRICS_CONTENT_TYPE);
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     response
 }
--- a/crates/daemon/src/operators/revision.rs
+++ b/crates/daemon/src/operators/revision.rs
@@ -1,4 +1,5 @@
-//! Whole replacements and proven reads, in the dialect that the process was started with.
+//! Replacements of the whole configuration, linearizable reads and roll-outs, in the operator
+//! dialect of the process.
 
 use std::time::Duration;
 
@@ -11,21 +12,21 @@
 use super::changes;
 use crate::{dialect, http, process, questions};
 
-/// Largest document of a replacement, in bytes.
-const LARGEST_DOCUMENT: usize = hazeltiller_wire::document::LARGEST_DOCUMENT;
-/// Longest time that a read waits for its proof: a majority answers within a few milliseconds, or
-/// there is none.
-const READ_PATIENCE: Duration = Duration::from_millis(800);
+/// Largest body of a request, in bytes.
+const MAX_BODY_BYTES: usize = hazeltiller_wire::document::LARGEST_DOCUMENT;
+/// Longest time that a read waits for confirmation by a majority, which answers within a few
+/// milliseconds unless there is none.
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Answers a message of an operator.
-pub(super) async fn answer(
+/// Serves a request in the operator dialect.
+pub(super) async fn handle(
     context: &process::ProcessContext,
     dialect: &dyn dialect::OperatorDialect,
     request: Request<Incoming>,
 ) -> Response<http::StreamBody> {
     let (parts, body) = request.into_parts();
     let path = parts.uri.path().to_owned();
-    let body = match Limited::new(body, LARGEST_DOCUMENT).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             return dialect.refuse(&dialect::RequestError {
@@ -35,35 +36,40 @@
             });
         }
     };
-    if let Some(leader) = leader_elsewhere(context).await {
+    if let Some(leader) = remote_leader(context).await {
         return dialect.answer(&path, &dialect::OperatorResponse::Redirect(leader));
     }
-    let answer = match dialect.read(&parts.method, &path, &body) {
+    let response = match dialect.read(&parts.method, &path, &body) {
         Ok(dialect::OperatorRequest::Read) => read(context).await,
         Ok(dialect::OperatorRequest::Replace(request)) => replace(context, *request).await,
         Ok(dialect::OperatorRequest::StartRollout(order)) => start_rollout(context, order).await,
         Ok(dialect::OperatorRequest::ReadRollout(service)) => read_rollout(context, service).await,
-        Err(fault) => {
-            log::info!("{}: document refused: {}", fault.code, fault.message);
-            return dialect.refuse(&fault);
+        Err(error) => {
+            log::info!(
+                "{}: operator request rejected: {}",
+                error.code,
+                error.message
+            );
+            return dialect.refuse(&error);
         }
     };
-    dialect.answer(&path, &answer)
+    dialect.answer(&path, &response)
 }
 
-/// The operators address of the leader, where that is another control and its address is known.
-async fn leader_elsewhere(context: &process::ProcessContext) -> Option<std::net::SocketAddr> {
-    let look = |state: &hazeltiller_engine::reducer::EngineState| {
+/// Returns the operators address of the leader if it is another control with a known address.
+async fn remote_leader(context: &process::ProcessContext) -> Option<std::net::SocketAddr> {
+    let lookup = |state: &hazeltiller_engine::reducer::EngineState| {
         let leader = state.replication.as_ref()?.live_leader(state)?;
         state.membership.at(leader)?.operators
     };
-    context.engine.inspect(look).await.flatten()
+    context.engine.inspect(lookup).await.flatten()
 }
 
-/// The revision in place, once a majority has proven that this control still leads.
-async fn proven_revision(context: &process::ProcessContext) -> replication::ProposalAnswer {
-    let reading = tokio::time::timeout(READ_PATIENCE, context.engine.read_revision()).await;
-    reading.unwrap_or(replication::ProposalAnswer::Refused {
+/// Returns the current revision once a majority has confirmed that this control is still the
+/// leader.
+async fn confirmed_revision(context: &process::ProcessContext) -> replication::ProposalAnswer {
+    let answer = tokio::time::timeout(READ_TIMEOUT, context.engine.read_revision()).await;
+    answer.unwrap_or(replication::ProposalAnswer::Refused {
         code: code::ResultCode::QuorumMissing,
         version: ids::CatalogueVersion::default(),
         faults: Vec::new(),
@@ -74,21 +80,21 @@
     context: &process::ProcessContext,
     service: ids::EntryName,
 ) -> dialect::OperatorResponse {
-    let is_proven = match proven_revision(context).await {
+    let confirmation = match confirmed_revision(context).await {
         replication::ProposalAnswer::Current { .. } => Ok(()),
         replication::ProposalAnswer::Refused { code, .. } => Err(code),
         _ => Err(code::ResultCode::LeaderUnknown),
     };
-    if let Err(code) = is_proven {
+    if let Err(code) = confirmation {
         let faults = Vec::new();
         return dialect::OperatorResponse::Refused { code, faults };
     }
-    // What is committed here by now is at least what was when the proof came.
-    let look = move |state: &hazeltiller_engine::reducer::EngineState| {
+    // The committed state is at least as recent as it was when the majority confirmed.
+    let lookup = move |state: &hazeltiller_engine::reducer::EngineState| {
         let committed = state.replication.as_ref()?.committed();
         committed.rollout(&service).cloned()
     };
-    match context.engine.inspect(look).await.flatten() {
+    match context.engine.inspect(lookup).await.flatten() {
         Some(entry) => dialect::OperatorResponse::Rollout(Box::new(entry)),
         None => dialect::OperatorResponse::NoRollout,
     }
@@ -109,7 +115,7 @@
 }
 
 async fn read(context: &process::ProcessContext) -> dialect::OperatorResponse {
-    match proven_revision(context).await {
+    match confirmed_revision(context).await {
         replication::ProposalAnswer::Current { revision, .. }
             if revision.label == ids::RevisionLabel::default() =>
         {
@@ -144,7 +150,7 @@
     }
 }
 
-/// Proposes a request of an operator, here or at the leader.
+/// Proposes a change, locally or by forwarding it to the leader.
 async fn propose(
     context: &process::ProcessContext,
     request: change::ChangeRequest,
@@ -153,7 +159,7 @@
         author: replication::ChangeAuthor::Administrator,
         request,
     };
-    let question = questions::LeaderRequest::Propose(change.clone());
-    let here = context.engine.propose(change.into_proposal());
-    changes::settle(context, here, question).await
+    let forwarded = questions::LeaderRequest::Propose(change.clone());
+    let local_answer = context.engine.propose(change.into_proposal());
+    changes::answer_or_forward(context, local_answer, forwarded).await
 }
--- a/crates/daemon/src/operators/rollouts.rs
+++ b/crates/daemon/src/operators/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs as operators read them: the entry, and at the leader the evidence.
+//! Reads of roll-outs: their entries, and on the leader the evidence that decides about them.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 
 use crate::{http, process};
 
-/// Runs of one version.
+/// Counts of calls that one version of a service has answered.
 #[derive(Debug, Serialize)]
 struct VersionDocument {
     version: Option<ids::SoftwareVersion>,
@@ -18,27 +18,30 @@
     failed: u64,
 }
 
-/// A service's latest roll-out.
+/// The latest roll-out of a service.
 #[derive(Debug, Serialize)]
 struct RolloutDocument {
     service: ids::EntryName,
     #[serde(flatten)]
     entry: rollout::RolloutEntry,
-    /// Time since the order, where this process saw it.
+    /// Time since the roll-out was started, if this process observed the start.
     elapsed_ms: Option<u64>,
-    /// Runs by version since the order, as the leader knows them; empty elsewhere.
+    /// Counts by version since the start, as known to the leader; empty on other processes.
     versions: Vec<VersionDocument>,
-    /// Operators address of the leader, where that is another control.
+    /// Operators address of the leader if it is another control.
     leader: Option<SocketAddr>,
 }
 
-/// Every service's latest roll-out.
+/// The latest roll-outs of all services.
 #[derive(Debug, Serialize)]
 struct RolloutList {
     rollouts: Vec<RolloutDocument>,
 }
 
-fn document(state: &reducer::EngineState, entry: &rollout::RolloutEntry) -> RolloutDocument {
+fn rollout_document(
+    state: &reducer::EngineState,
+    entry: &rollout::RolloutEntry,
+) -> RolloutDocument {
     let evidence = state.rollout.evidence.get(&entry.name);
     let counts = evidence.map(evidence::RolloutEvidence::by_version);
     let versions = counts.into_iter().flatten();
@@ -60,36 +63,38 @@
     }
 }
 
-/// Lists the roll-outs.
+/// Lists the roll-outs in the catalogue in force.
 pub(super) async fn list(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let list = context.engine.inspect(|state| {
         let entries = state.dissemination.in_force.rollouts();
-        let rollouts = entries.map(|entry| document(state, entry)).collect();
+        let rollouts = entries
+            .map(|entry| rollout_document(state, entry))
+            .collect();
         RolloutList { rollouts }
     });
     match list.await {
         Some(list) => http::json_response(StatusCode::OK, &list),
-        None => super::fleet::stopping(),
+        None => super::fleet::stopping_response(),
     }
 }
 
-/// Gives the latest roll-out of a service.
-pub(super) async fn one(
+/// Returns the latest roll-out of a service.
+pub(super) async fn get(
     context: &process::ProcessContext,
     service: &str,
 ) -> Response<http::StreamBody> {
     let name = service.parse::<ids::EntryName>().ok();
-    let found = context.engine.inspect(move |state| {
+    let document = context.engine.inspect(move |state| {
         let entry = state.dissemination.in_force.rollout(&name?)?;
-        Some(document(state, entry))
+        Some(rollout_document(state, entry))
     });
-    match found.await {
+    match document.await {
         Some(Some(document)) => http::json_response(StatusCode::OK, &document),
         Some(None) => {
             let code = code::ResultCode::RolloutNotFound;
             let message = format!("{service}: {}", code.meaning());
-            super::refusal(StatusCode::NOT_FOUND, code, message)
+            super::not_run_response(StatusCode::NOT_FOUND, code, message)
         }
-        None => super::fleet::stopping(),
+        None => super::fleet::stopping_response(),
     }
 }
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -1,4 +1,4 @@
-//! Status of the process.
+//! The status of the process.
 
 use hazeltiller_engine::replication;
 use hazeltiller_units::{code, ids};
@@ -8,7 +8,7 @@
 use super::fleet;
 use crate::{http, process};
 
-/// Status of a process.
+/// The status of a process.
 #[derive(Debug, Serialize)]
 struct StatusDocument {
     instance: ids::InstanceName,
@@ -21,8 +21,8 @@
     control: Option<replication::GroupView>,
 }
 
-/// Gives the status.
-pub(super) async fn status(context: &process::ProcessContext) -> Response<http::StreamBody> {
+/// Returns the status.
+pub(super) async fn get(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let bytes = context.bytes.summary();
     let document = context
         .engine
@@ -43,7 +43,7 @@
         Some(document) => http::json_response(StatusCode::OK, &document),
         None => {
             let message = code::ResultCode::NodeStopping.meaning().into();
-            super::refusal(
+            super::not_run_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 code::ResultCode::NodeStopping,
                 message,
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -1,7 +1,8 @@
-//! The readiness listener: whether callers may be sent here.
+//! The listener for readiness checks, which tell load balancers whether to send callers to this
+//! node.
 //!
-//! A node is ready while it holds a catalogue and nobody asked it to stop. Every path is answered
-//! alike, so that whoever watches the instance can ask in its own way.
+//! A node is ready while it has a catalogue and is not shutting down. All paths return the same
+//! response, so that any health checker can be used.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -13,11 +14,12 @@
 
 use crate::{drain, http, listener, process};
 
+/// Body of the response.
 #[derive(Debug, Serialize)]
 struct ReadinessDocument {
     is_ready: bool,
     catalogue_version: ids::CatalogueVersion,
-    /// Why it is not ready.
+    /// Why the node is not ready.
     #[serde(skip_serializing_if = "Option::is_none")]
     code: Option<code::ResultCode>,
 }
@@ -28,7 +30,7 @@
         let (stream, _from) = listener::accept(&listener, "ready").await;
         let context = Arc::clone(&context);
         let service = service::service_fn(move |_request: Request<Incoming>| {
-            let response = answer(&context);
+            let response = respond(&context);
             async move { Ok::<_, Infallible>(response) }
         });
         tokio::spawn(async move {
@@ -36,13 +38,13 @@
                 .serve_connection(rt::TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
-                log::debug!("readiness connection ended: {error}");
+                log::debug!("readiness connection failed: {error}");
             }
         });
     }
 }
 
-fn answer(context: &process::ProcessContext) -> Response<http::StreamBody> {
+fn respond(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let version = context.in_force.borrow().version;
     let code = if context.drain.phase() > drain::DrainPhase::Serving {
         Some(code::ResultCode::NodeStopping)
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,7 +1,8 @@
-//! Reads the settings file again, on SIGHUP and when it has changed without a signal.
+//! Reloads the settings file on SIGHUP and when polling finds that it has changed.
 //!
-//! The controls to ask and the log level are taken over while the process runs; whatever else
-//! differs is logged and waits for a restart. A file with faults changes nothing.
+//! The addresses of controls, the log level and the sampling of the log are applied to the running
+//! process. A change of any other setting is logged and takes effect at the next start. A file with
+//! faults changes nothing.
 
 use std::{path::PathBuf, sync::Arc, time::Duration};
 
@@ -10,21 +11,23 @@
 
 use crate::{logging, process, settings};
 
-/// Time between two looks at the file: a change without a signal is in force within about this.
-const LOOK_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the file is polled, and so about the longest time until a change without a
+/// signal is applied.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The file as the process has taken it.
+/// The settings file as it was last loaded.
 #[derive(Debug, Clone)]
 pub struct LoadedFile {
-    /// Where it is.
+    /// Path of the file.
     pub path: PathBuf,
-    /// Its text when it was read. It may be another one by the time that the watch begins.
+    /// Text of the file when it was loaded. The file may have changed by the time that watching
+    /// begins.
     pub text: String,
-    /// What it said.
+    /// Settings parsed from the text.
     pub settings: settings::ProcessSettings,
 }
 
-/// Watches the file until the process stops.
+/// Watches the file and applies changes until the process stops.
 pub async fn watch(
     context: Arc<process::ProcessContext>,
     file: LoadedFile,
@@ -36,57 +39,63 @@
         settings: mut current,
     } = file;
     loop {
-        let is_asked = tokio::select! {
+        let is_signalled = tokio::select! {
             _ = hangups.recv() => true,
-            () = time::sleep(LOOK_PERIOD) => false,
+            () = time::sleep(POLL_INTERVAL) => false,
         };
-        let read = match std::fs::read_to_string(&path) {
-            Ok(read) => read,
+        let new_text = match std::fs::read_to_string(&path) {
+            Ok(new_text) => new_text,
             Err(error) => {
-                if is_asked {
-                    log::warn!("settings not read again: {}: {error}", path.display());
+                if is_signalled {
+                    log::warn!(
+                        "reading {} failed, settings not reloaded: {error}",
+                        path.display()
+                    );
                 }
                 continue;
             }
         };
-        if read == text && !is_asked {
+        if new_text == text && !is_signalled {
             continue;
         }
-        text = read;
+        text = new_text;
         match settings::ProcessSettings::parse(&text) {
             Ok(next) => {
-                take(&context, &current, &next);
+                apply(&context, &current, &next);
                 current = next;
             }
             Err(faults) => {
                 for fault in faults {
-                    log::error!("settings not read again: {fault}");
+                    log::error!("settings not reloaded: {fault}");
                 }
             }
         }
     }
 }
 
-fn take(
+/// Applies the settings that can change while the process runs, and warns about changes of others.
+fn apply(
     context: &process::ProcessContext,
     current: &settings::ProcessSettings,
     next: &settings::ProcessSettings,
 ) {
-    log::info!("settings read again");
+    log::info!("settings reloaded");
     let contacts = next.contacts();
     if contacts != current.contacts() {
-        log::info!("controls to ask from now on: {contacts:?}");
+        log::info!("addresses of controls changed to {contacts:?}");
         let event = membership::MembershipEvent::Contacts(contacts);
         context.engine.tell(event::Event::Membership(event));
     }
     logging::set_level(&next.log);
-    let same = settings::ProcessSettings {
+    let unchanged = settings::ProcessSettings {
         control: current.control.clone(),
         bootstrap: current.bootstrap,
         log: current.log.clone(),
         ..next.clone()
     };
-    if same != *current {
-        log::warn!("settings other than control and log.level hold from the next start on");
+    if unchanged != *current {
+        log::warn!(
+            "settings other than control, log.level and log.sample take effect at the next start"
+        );
     }
 }
--- a/crates/daemon/src/trace.rs
+++ b/crates/daemon/src/trace.rs
@@ -1,4 +1,4 @@
-//! The id of a request and the clock, as they travel in headers.
+//! Propagation of request ids and of the hybrid logical clock in headers.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -11,40 +11,40 @@
 
 use crate::{http, timeline};
 
-/// Gives ids to requests that come without one.
+/// Generates ids for requests that arrive without one.
 ///
-/// An id is a random number of the process and a number that grows in it, so that two processes
-/// never give the same.
+/// An id consists of a random number of the process and a counter, so that no two processes
+/// generate the same.
 #[derive(Debug)]
 pub struct RequestIds {
-    process: u64,
+    process_nonce: u64,
     last: AtomicU64,
 }
 
 impl Default for RequestIds {
     fn default() -> Self {
         Self {
-            process: rand::random(),
+            process_nonce: rand::random(),
             last: AtomicU64::new(0),
         }
     }
 }
 
 impl RequestIds {
-    /// The id of a caller's request: its own, or a new one.
+    /// Returns the id in the headers of a request, or generates one.
     pub fn of(&self, headers: &HeaderMap) -> ids::RequestId {
         request_id(headers).unwrap_or_else(|| self.new_id())
     }
 
-    /// A new id.
+    /// Generates an id.
     pub fn new_id(&self) -> ids::RequestId {
         let number = self.last.fetch_add(1, Ordering::Relaxed) + 1;
-        let text = format!("{:016x}-{number:x}", self.process);
-        text.parse().expect("digits and a hyphen make a name")
+        let text = format!("{:016x}-{number:x}", self.process_nonce);
+        text.parse().expect("digits and a hyphen are a valid id")
     }
 }
 
-/// The id in headers.
+/// Returns the request id in headers.
 pub fn request_id(headers: &HeaderMap) -> Option<ids::RequestId> {
     headers
         .get(wire::REQUEST_HEADER)?
@@ -54,27 +54,28 @@
         .ok()
 }
 
-/// Puts an id into headers, in place of any other.
+/// Sets the request id in headers, replacing any other.
 pub fn set_request_id(headers: &mut HeaderMap, request: &ids::RequestId) {
     let value = header::HeaderValue::from_str(request.as_str());
-    let value = value.expect("a name is a header's value");
+    let value = value.expect("an id is a valid header value");
     headers.insert(wire::REQUEST_HEADER, value);
 }
 
-/// Time since the machine started, the time in which it was suspended included: a clock that stood
-/// still meanwhile would make all that is sent after it seem late.
+/// Returns the time since the machine booted, including the time for which it was suspended. With a
+/// clock that stops during suspension, everything sent after it would seem to be late.
 pub fn boot_time() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// Puts the time into the headers of what is sent to another node.
+/// Adds the current clock time to the headers of a message to another node.
 pub fn set_clock(clock: &timeline::HybridClock, headers: &mut HeaderMap) {
     let value = http::unindexed_value(&clock.tick());
     headers.insert(wire::CLOCK_HEADER, value);
 }
 
-/// Takes the time off the headers of what came from another node.
+/// Removes the clock time from the headers of a message from another node, and merges it into the
+/// clock.
 pub fn merge_clock(clock: &timeline::HybridClock, headers: &mut HeaderMap) {
     let sent = http::take_record(headers, wire::CLOCK_HEADER);
     if let Some(sent) = sent {
--- a/tests/all/reload.rs
+++ b/tests/all/reload.rs
@@ -87,7 +87,7 @@
         let log = fleet.log("node-1");
         let line = log
             .lines()
-            .find(|line| line.contains("settings not read again"))?;
+            .find(|line| line.contains("settings not reloaded"))?;
         Some(line.to_owned())
     })
     .await;
