--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -158,10 +158,10 @@
     health::record_run_result(state, &offer.target, result, is_late);
     if result == calls::RunResult::WrongTarget {
         let gone = membership::MembershipEvent::WrongTarget(offer.target.clone());
-        output.follow(event::Event::Membership(gone));
+        output.enqueue(event::Event::Membership(gone));
     }
     let took = state.now.since(started);
-    rollout::note_run(state, offer, took, result);
+    rollout::record_run(state, offer, took, result);
     admission::end_run(state, offer, took, result);
     run_next(state, &offer.target, output);
 }
--- a/crates/engine/src/replication/store_failure.rs
+++ b/crates/engine/src/replication/store_failure.rs
@@ -52,7 +52,7 @@
             snapshot: Some(Box::new(self.snapshot())),
             ..self.write_queue.next_batch()
         };
-        failure.give(batch.batch);
+        failure.record_rewrite(batch.batch);
         self.store_failure = Some(failure);
         let effect = ReplicationEffect::Persist(Box::new(batch));
         context
