--- a/benches/dissemination/codec.rs
+++ b/benches/dissemination/codec.rs
@@ -115,8 +115,8 @@
     (delta, reached)
 }
 
-fn mark() -> membership::ShortMark {
-    membership::ShortMark {
+fn mark() -> membership::VersionSummary {
+    membership::VersionSummary {
         version: ids::CatalogueVersion(2000),
         digest: membership::ShortDigest(7 << 40),
     }
@@ -135,7 +135,7 @@
 }
 
 fn gossip(records: Vec<membership::MemberRecord>) -> membership::GossipMessage {
-    let age = |centre: u32| membership::CentreAge {
+    let age = |centre: u32| membership::DataCentreAge {
         centre: centre << 20,
         age_ms: 300,
     };
--- a/benches/dissemination/virtual_fleet.rs
+++ b/benches/dissemination/virtual_fleet.rs
@@ -178,12 +178,12 @@
     let seconds = fleet.now().saturating_sub(began).as_secs_f64();
     let source = source_bytes(fleet) as f64;
     let mut by_reason = serde_json::Map::new();
-    for reason in message::ByteReason::ALL {
+    for reason in message::TrafficCategory::ALL {
         let sent = NAMES
             .iter()
             .filter_map(|name| fleet.processes[*name].sent.get(&reason));
         let bytes: u64 = sent.map(|(_, bytes)| bytes).sum();
-        by_reason.insert(reason.word().into(), json!(bytes));
+        by_reason.insert(reason.as_str().into(), json!(bytes));
     }
     let snapshot = codec::encode_body(&fleet.accepted).len() as f64;
     let (mean, most) = node_bytes(fleet, names);
--- a/crates/catalogue/src/check.rs
+++ b/crates/catalogue/src/check.rs
@@ -153,7 +153,7 @@
         entry::CatalogueEntry::Rollout(entry) => {
             let (low, high) = (rollout::SHORTEST_MS, rollout::LONGEST_MS);
             within("within_ms", entry.within_ms, low, high);
-            let whole = rollout::WHOLE_PERMILLE;
+            let whole = rollout::FULL_SHARE_PERMILLE;
             within("share_permille", entry.share_permille, 0, whole);
         }
     }
--- a/crates/catalogue/src/entry/key.rs
+++ b/crates/catalogue/src/entry/key.rs
@@ -35,7 +35,7 @@
     ];
 
     /// The word for the kind in JSON and on the command line.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Owner => "owner",
             Self::Class => "class",
@@ -49,7 +49,7 @@
 
 impl fmt::Display for EntryKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.pad(self.word())
+        f.pad(self.as_str())
     }
 }
 
@@ -66,7 +66,7 @@
     type Err = KindError;
 
     fn from_str(text: &str) -> Result<Self, KindError> {
-        let found = Self::ALL.into_iter().find(|kind| kind.word() == text);
+        let found = Self::ALL.into_iter().find(|kind| kind.as_str() == text);
         found.ok_or_else(|| KindError { text: text.into() })
     }
 }
--- a/crates/catalogue/src/rollout.rs
+++ b/crates/catalogue/src/rollout.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Thousandths in a whole share.
-pub const WHOLE_PERMILLE: u32 = 1000;
+pub const FULL_SHARE_PERMILLE: u32 = 1000;
 /// Shortest time that a roll-out may be given, in milliseconds.
 pub const SHORTEST_MS: u32 = 2_000;
 /// Longest time that a roll-out may be given, in milliseconds.
@@ -39,7 +39,7 @@
     }
 
     /// The word in JSON, logs and on the command line.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Trial => "trial",
             Self::Widening => "widening",
@@ -52,7 +52,7 @@
 
 impl fmt::Display for RolloutPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.pad(self.word())
+        f.pad(self.as_str())
     }
 }
 
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether the digest is that of the content.
-    pub fn is_sound(&self) -> bool {
+    pub fn has_valid_digest(&self) -> bool {
         let empty = self.version == ids::CatalogueVersion::default();
         if empty {
             self.entries.is_empty()
--- a/crates/catalogue/tests/digest.rs
+++ b/crates/catalogue/tests/digest.rs
@@ -35,7 +35,7 @@
         state = state
             .apply(step, ids::LeaderTerm(1))
             .expect("each step is valid");
-        assert!(state.is_sound(), "the sum follows each change");
+        assert!(state.has_valid_digest(), "the sum follows each change");
         assert_eq!(state.previous, before.digest);
         assert_ne!(
             (state.digest, state.content),
@@ -54,11 +54,11 @@
     let sound = first();
     let mut forged = sound.clone();
     forged.entries.pop();
-    assert!(!forged.is_sound(), "an entry is missing");
+    assert!(!forged.has_valid_digest(), "an entry is missing");
     let mut forged = sound.clone();
     forged.term = ids::LeaderTerm(2);
-    assert!(!forged.is_sound(), "the term is another");
+    assert!(!forged.has_valid_digest(), "the term is another");
     let mut forged = sound;
     forged.previous = ids::StateDigest([1; 32]);
-    assert!(!forged.is_sound(), "the way there is another");
+    assert!(!forged.has_valid_digest(), "the way there is another");
 }
--- a/crates/daemon/src/byte_counts.rs
+++ b/crates/daemon/src/byte_counts.rs
@@ -57,19 +57,22 @@
 
 impl ByteCounts {
     /// Counts a frame that goes out.
-    pub fn sent(&self, to: SocketAddr, reason: message::ByteReason, size: usize) {
+    pub fn sent(&self, to: SocketAddr, reason: message::TrafficCategory, size: usize) {
         let mut table = self.table.lock().expect("no holder of the lock panics");
         if !table.sent.contains_key(&to) && table.sent.len() >= COUNTED_LINKS {
             drop_least_used(&mut table);
         }
         let counts = table.sent.entry(to).or_default();
-        counts.entry(reason.word()).or_default().add(1, size as u64);
+        counts
+            .entry(reason.as_str())
+            .or_default()
+            .add(1, size as u64);
     }
 
     /// Counts a frame that came in.
-    pub fn received(&self, reason: message::ByteReason, size: usize) {
+    pub fn received(&self, reason: message::TrafficCategory, size: usize) {
         let mut table = self.table.lock().expect("no holder of the lock panics");
-        let count = table.received.entry(reason.word()).or_default();
+        let count = table.received.entry(reason.as_str()).or_default();
         count.add(1, size as u64);
     }
 
--- a/crates/daemon/src/callers/stored_response.rs
+++ b/crates/daemon/src/callers/stored_response.rs
@@ -34,7 +34,7 @@
     let (stored, body) = match read(body, max_bytes).await {
         BufferedBody::Complete(bytes, None) => {
             let headers = parts.headers.iter();
-            let stored = wire_ledger::KeptAnswer {
+            let stored = wire_ledger::StoredAnswer {
                 status: parts.status.as_u16(),
                 headers: headers
                     .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
@@ -64,7 +64,7 @@
 }
 
 /// Rebuilds the response to an earlier send of the same request.
-pub fn replay(stored: wire_ledger::KeptAnswer) -> Response<http::StreamBody> {
+pub fn replay(stored: wire_ledger::StoredAnswer) -> Response<http::StreamBody> {
     let mut response = Response::new(http::full_body(stored.body));
     *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     for (name, value) in stored.headers {
--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -109,7 +109,7 @@
 fn read_rollouts(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
     metrics.rollout_phase.reset();
     for entry in state.dissemination.in_force.rollouts() {
-        let labels = [entry.name.as_str(), entry.to.as_str(), entry.phase.word()];
+        let labels = [entry.name.as_str(), entry.to.as_str(), entry.phase.as_str()];
         metrics.rollout_phase.with_label_values(&labels).set(1);
     }
     metrics.rollout_runs.reset();
--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -106,13 +106,13 @@
         let challenge: wire::LinkChallenge = read_greeting(stream).await?;
         let prove = |side| {
             self.key
-                .prove(side, &hello, &challenge.identity, challenge.nonce)
+                .compute_proof(side, &hello, &challenge.identity, challenge.nonce)
         };
-        if !wire::GroupKey::accepts(&prove(wire::LinkSide::Listener), &challenge.proof) {
+        if !wire::GroupKey::verify_proof(&prove(wire::LinkSide::Responder), &challenge.proof) {
             return Err(GreetingError::Unproven);
         }
         let proof = wire::LinkProof {
-            proof: prove(wire::LinkSide::Opener),
+            proof: prove(wire::LinkSide::Initiator),
         };
         write_greeting(stream, &proof).await?;
         Ok(challenge.identity)
@@ -129,15 +129,15 @@
             });
         }
         let nonce = rand::random();
-        let prove = |side| self.key.prove(side, &hello, &self.identity, nonce);
+        let prove = |side| self.key.compute_proof(side, &hello, &self.identity, nonce);
         let challenge = wire::LinkChallenge {
             identity: self.identity.clone(),
             nonce,
-            proof: prove(wire::LinkSide::Listener),
+            proof: prove(wire::LinkSide::Responder),
         };
         write_greeting(stream, &challenge).await?;
         let answer: wire::LinkProof = read_greeting(stream).await?;
-        if !wire::GroupKey::accepts(&prove(wire::LinkSide::Opener), &answer.proof) {
+        if !wire::GroupKey::verify_proof(&prove(wire::LinkSide::Initiator), &answer.proof) {
             return Err(GreetingError::Unproven);
         }
         Ok((hello.identity, hello.purpose))
@@ -155,10 +155,10 @@
 }
 
 async fn read_greeting<T: DeserializeOwned>(stream: &mut TcpStream) -> Result<T, GreetingError> {
-    let mut prefix = [0; codec::LENGTH_BYTES];
+    let mut prefix = [0; codec::LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut prefix).await.context(BrokenSnafu)?;
     let size = codec::frame_length(prefix).context(UnreadableSnafu)?;
-    if size > wire::LARGEST_GREETING {
+    if size > wire::MAX_HANDSHAKE_FRAME_BYTES {
         return Err(codec::CodecError::TooLarge { size }).context(UnreadableSnafu);
     }
     let mut body = vec![0; size];
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -69,7 +69,7 @@
 
 /// Returns the response that reports a refusal to a caller.
 pub fn refusal_response(refusal: &wire::CallRefusal) -> Response<StreamBody> {
-    let outcome = refusal.outcome.word();
+    let outcome = refusal.outcome.as_str();
     let message = format!("{}; {}", refusal.code.meaning(), refusal.code.advice());
     let document = RefusalDocument {
         code: refusal.code,
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -80,7 +80,7 @@
     /// Sends a message, or drops it when the link is full.
     pub fn send(&self, to: SocketAddr, frame: &message::PeerFrame) {
         let bytes = codec::encode_frame(frame);
-        let (reason, size) = (frame.message.reason(), bytes.len());
+        let (reason, size) = (frame.message.category(), bytes.len());
         let mut links = self.links.lock().expect("no holder of the lock panics");
         let link = links.entry(to).or_insert_with(|| self.open(to));
         match link.try_send(bytes) {
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -14,7 +14,7 @@
 use crate::{http, process, questions};
 
 /// Largest change, in bytes: the largest document and as much for its entries.
-const LARGEST_CHANGE: usize = 2 * hazeltiller_wire::document::LARGEST_DOCUMENT;
+const LARGEST_CHANGE: usize = 2 * hazeltiller_wire::document::MAX_DOCUMENT_BYTES;
 const BEARER_PREFIX: &str = "Bearer ";
 
 /// An accepted change as it is listed.
--- a/crates/daemon/src/operators/revision.rs
+++ b/crates/daemon/src/operators/revision.rs
@@ -12,7 +12,7 @@
 use crate::{dialect, http, process, questions};
 
 /// Largest document of a replacement, in bytes.
-const LARGEST_DOCUMENT: usize = hazeltiller_wire::document::LARGEST_DOCUMENT;
+const MAX_DOCUMENT_BYTES: usize = hazeltiller_wire::document::MAX_DOCUMENT_BYTES;
 /// Longest time that a read waits for its proof: a majority answers within a few milliseconds, or
 /// there is none.
 const READ_PATIENCE: Duration = Duration::from_millis(800);
@@ -25,7 +25,7 @@
 ) -> Response<http::StreamBody> {
     let (parts, body) = request.into_parts();
     let path = parts.uri.path().to_owned();
-    let body = match Limited::new(body, LARGEST_DOCUMENT).collect().await {
+    let body = match Limited::new(body, MAX_DOCUMENT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             return dialect.refuse(&dialect::RequestError {
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -65,7 +65,7 @@
     let mut offer = wire::CallOffer::join(terms, sent.attempt);
     let (sent, received) = (Duration::from_millis(sent.sent_ms), trace::boot_time());
     let mut meter = transit.lock().expect("no holder of the lock panics");
-    offer.spend(meter.record(sent, received));
+    offer.subtract_elapsed(meter.record(sent, received));
     offer
 }
 
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -73,14 +73,14 @@
     let (reader, mut writer) = stream.into_split();
     let mut reader = tokio::io::BufReader::new(reader);
     loop {
-        let mut prefix = [0; codec::LENGTH_BYTES];
+        let mut prefix = [0; codec::LENGTH_PREFIX_BYTES];
         reader.read_exact(&mut prefix).await.map_err(broken)?;
         let size = codec::frame_length(prefix).map_err(unreadable)?;
         let mut body = vec![0; size];
         reader.read_exact(&mut body).await.map_err(broken)?;
         let frame: message::PeerFrame = codec::decode_body(&body).map_err(unreadable)?;
-        let bytes = size + codec::LENGTH_BYTES;
-        context.bytes.received(frame.message.reason(), bytes);
+        let bytes = size + codec::LENGTH_PREFIX_BYTES;
+        context.bytes.received(frame.message.category(), bytes);
         context.clock.merge(frame.clock);
         let event = event::Event::Received {
             from: from.clone(),
--- a/crates/daemon/src/questions.rs
+++ b/crates/daemon/src/questions.rs
@@ -192,7 +192,7 @@
 
 impl QuestionWriter {
     async fn write(&mut self, text: &str) -> Result<(), QuestionError> {
-        let mut frame = Vec::with_capacity(text.len() + codec::LENGTH_BYTES);
+        let mut frame = Vec::with_capacity(text.len() + codec::LENGTH_PREFIX_BYTES);
         frame.extend_from_slice(&(text.len() as u32).to_le_bytes());
         frame.extend_from_slice(text.as_bytes());
         self.0.write_all(&frame).await.context(BrokenSnafu)
@@ -211,7 +211,7 @@
 
 impl QuestionReader {
     async fn read(&mut self) -> Result<String, QuestionError> {
-        let mut prefix = [0; codec::LENGTH_BYTES];
+        let mut prefix = [0; codec::LENGTH_PREFIX_BYTES];
         self.0.read_exact(&mut prefix).await.context(BrokenSnafu)?;
         let size = codec::frame_length(prefix).context(TooLargeSnafu)?;
         let mut body = vec![0; size];
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -447,7 +447,7 @@
     );
     let refusal = wire::CallRefusal::not_run(code::ResultCode::RateExceeded)
         .elsewhere()
-        .by_limit(limit, refusal::whole_millis(wait));
+        .with_limit(limit, refusal::whole_millis(wait));
     Some(refusal::with_load(state, offer, refusal))
 }
 
--- a/crates/engine/src/admission/refusal.rs
+++ b/crates/engine/src/admission/refusal.rs
@@ -19,7 +19,7 @@
     if deadline <= state.now {
         let late = wire::CallRefusal::not_run(code::ResultCode::DeadlineExceeded);
         let limit = route_limit(offer, wire::LimitField::Deadline);
-        return with_load(state, offer, late.by_limit(limit, 0));
+        return with_load(state, offer, late.with_limit(limit, 0));
     }
     let latency = Duration::from_millis(u64::from(offer.latency_left_ms));
     if urgency::is_bounded(state, offer) && admission::longest_wait(state, offer) > latency {
@@ -94,7 +94,7 @@
 ) -> wire::CallRefusal {
     let refusal = wire::CallRefusal::not_run(code)
         .elsewhere()
-        .by_limit(limit, whole_millis(room_in));
+        .with_limit(limit, whole_millis(room_in));
     with_load(state, offer, refusal)
 }
 
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -163,7 +163,7 @@
     /// Ingress: pass the answer on that has begun.
     ForwardAnswer(ids::CallId),
     /// Ingress: give the answer of an earlier send.
-    Replay(ids::CallId, wire_ledger::KeptAnswer),
+    Replay(ids::CallId, wire_ledger::StoredAnswer),
     /// Ingress or owner: refuse.
     Refuse(ids::CallId, wire::CallRefusal),
     /// Owner: run it.
--- a/crates/engine/src/dissemination.rs
+++ b/crates/engine/src/dissemination.rs
@@ -126,10 +126,10 @@
 }
 
 /// Returns the version in force together with a short form of its digest.
-pub fn version_summary(state: &reducer::EngineState) -> wire_membership::ShortMark {
+pub fn version_summary(state: &reducer::EngineState) -> wire_membership::VersionSummary {
     let in_force = &state.dissemination.in_force;
     let digest = in_force.digest.0.first_chunk().expect("a digest is longer");
-    wire_membership::ShortMark {
+    wire_membership::VersionSummary {
         version: in_force.version,
         digest: (*digest).into(),
     }
@@ -146,7 +146,7 @@
 pub fn observe_version(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
-    held: wire_membership::ShortMark,
+    held: wire_membership::VersionSummary,
 ) {
     pull::observe(state, from, held);
 }
--- a/crates/engine/src/dissemination/child.rs
+++ b/crates/engine/src/dissemination/child.rs
@@ -37,7 +37,7 @@
     /// Time of the last report from the child.
     pub last_heard: time::MonotonicTime,
     /// The version that the child last reported as in force on itself.
-    pub held: wire_membership::ShortMark,
+    pub held: wire_membership::VersionSummary,
     /// Every node of the child's subtree has this version or a later one in force.
     pub floor: ids::CatalogueVersion,
     /// Exclusive or of the name digests of the nodes in the child's subtree.
@@ -197,7 +197,7 @@
     output: &mut event::ReducerOutput,
 ) {
     let child = state.dissemination.children.get(&to);
-    let mark = wire::ParentMark {
+    let mark = wire::ParentStatus {
         held: dissemination::version_summary(state),
         path: parent::path_from_control(state),
         wants_roster: child.is_some_and(|child| !child.has_roster()),
--- a/crates/engine/src/dissemination/parent.rs
+++ b/crates/engine/src/dissemination/parent.rs
@@ -251,7 +251,7 @@
 pub fn handle_mark(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
-    mark: wire::ParentMark,
+    mark: wire::ParentStatus,
     output: &mut event::ReducerOutput,
 ) {
     let now = state.now;
--- a/crates/engine/src/dissemination/pull.rs
+++ b/crates/engine/src/dissemination/pull.rs
@@ -33,7 +33,7 @@
 pub fn observe(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
-    held: wire_membership::ShortMark,
+    held: wire_membership::VersionSummary,
 ) {
     if state.settings.identity.is_control || held.version <= state.dissemination.version() {
         return;
--- a/crates/engine/src/dissemination/version.rs
+++ b/crates/engine/src/dissemination/version.rs
@@ -152,7 +152,7 @@
     match packed.unpack() {
         Ok(snapshot)
             if snapshot.version == packed.version
-                && snapshot.is_sound()
+                && snapshot.has_valid_digest()
                 && check::check_entries(&snapshot.entries).is_empty() =>
         {
             activate(state, snapshot, None, output);
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -49,7 +49,7 @@
         /// Which call.
         call: hazeltiller_units::ids::CallId,
         /// The answer, unless it is too large to be kept.
-        answer: Option<wire::KeptAnswer>,
+        answer: Option<wire::StoredAnswer>,
     },
 }
 
--- a/crates/engine/src/ledger/acceptor.rs
+++ b/crates/engine/src/ledger/acceptor.rs
@@ -32,7 +32,7 @@
     claims: IndexMap<wire::RequestDigest, KeptClaim>,
     order: VecDeque<(time::MonotonicTime, wire::RequestDigest, wire::ClaimId)>,
     /// Whether claims that were granted here can be missing.
-    standing: wire::ClaimsStanding,
+    standing: wire::ClaimsCompleteness,
     grants: VecDeque<WaitingGrant>,
     /// Records that need no sync of their own.
     unwritten: Vec<wire::ClaimRecord>,
@@ -49,7 +49,7 @@
     /// until the group proves that no claim can have been granted from an earlier one.
     pub fn recover(
         stored: IndexMap<wire::RequestDigest, wire::StoredClaim>,
-        standing: wire::ClaimsStanding,
+        standing: wire::ClaimsCompleteness,
     ) -> Self {
         let start = time::MonotonicTime::default();
         let order = stored
@@ -86,7 +86,7 @@
 
     /// Whether one more claim can be kept and granted now.
     fn can_keep(&self, most: usize) -> bool {
-        self.standing == wire::ClaimsStanding::Whole
+        self.standing == wire::ClaimsCompleteness::Whole
             && self.failure.is_none()
             && self.claims.len() < most
     }
@@ -164,9 +164,9 @@
     };
     acceptor.expire(now, longest);
     let has_expired = now.since(time::MonotonicTime::default()) >= longest;
-    let is_proven = acceptor.standing == wire::ClaimsStanding::Unproven && is_founding_replica;
-    if acceptor.standing != wire::ClaimsStanding::Whole && (has_expired || is_proven) {
-        acceptor.standing = wire::ClaimsStanding::Whole;
+    let is_proven = acceptor.standing == wire::ClaimsCompleteness::Unproven && is_founding_replica;
+    if acceptor.standing != wire::ClaimsCompleteness::Whole && (has_expired || is_proven) {
+        acceptor.standing = wire::ClaimsCompleteness::Whole;
         let record = wire::ClaimRecord::Standing(acceptor.standing);
         acceptor.unwritten.push(record);
     }
--- a/crates/engine/src/ledger/claims.rs
+++ b/crates/engine/src/ledger/claims.rs
@@ -39,7 +39,7 @@
     /// It has a majority; its call may be sent.
     Running,
     /// Its call was answered.
-    Finished(Option<wire::KeptAnswer>),
+    Finished(Option<wire::StoredAnswer>),
     /// Its call may have run.
     Unknown,
 }
--- a/crates/engine/src/ledger/race.rs
+++ b/crates/engine/src/ledger/race.rs
@@ -195,7 +195,7 @@
 pub fn answered(
     state: &mut reducer::EngineState,
     call: ids::CallId,
-    answer: Option<wire::KeptAnswer>,
+    answer: Option<wire::StoredAnswer>,
     output: &mut event::ReducerOutput,
 ) {
     let Some(request) = state.ledger.table.request_of(call) else {
--- a/crates/engine/src/membership/reach.rs
+++ b/crates/engine/src/membership/reach.rs
@@ -114,12 +114,12 @@
 }
 
 /// Returns the time since each other data centre was last heard from.
-pub fn ages(state: &reducer::EngineState) -> Vec<wire::CentreAge> {
+pub fn ages(state: &reducer::EngineState) -> Vec<wire::DataCentreAge> {
     let own = table::centre_digest(&state.settings.identity.data_centre);
     let centres = state.membership.centre_contacts.iter();
     centres
         .filter(|(centre, _)| **centre != own)
-        .map(|(centre, last)| wire::CentreAge {
+        .map(|(centre, last)| wire::DataCentreAge {
             centre: *centre,
             age_ms: state.now.since(*last).as_millis() as u32,
         })
@@ -127,7 +127,7 @@
 }
 
 /// Merges a peer's times since the last contact with data centres. The own data centre is skipped.
-pub fn merge_ages(state: &mut reducer::EngineState, ages: &[wire::CentreAge]) {
+pub fn merge_ages(state: &mut reducer::EngineState, ages: &[wire::DataCentreAge]) {
     let own = table::centre_digest(&state.settings.identity.data_centre);
     for age in ages.iter().filter(|age| age.centre != own) {
         let age_us = Duration::from_millis(u64::from(age.age_ms)).as_micros() as u64;
--- a/crates/engine/src/replication.rs
+++ b/crates/engine/src/replication.rs
@@ -290,7 +290,7 @@
     }
 
     fn is_voter(&self) -> bool {
-        self.log.group().has(self.hard_state.replica)
+        self.log.group().has_voter(self.hard_state.replica)
     }
 
     fn message(
--- a/crates/engine/src/replication/election.rs
+++ b/crates/engine/src/replication/election.rs
@@ -116,7 +116,7 @@
         let ReplicaRole::PreCandidate(granted) = &mut self.role else {
             return;
         };
-        if term != self.hard_state.term.next() || !group.has(replica) {
+        if term != self.hard_state.term.next() || !group.has_voter(replica) {
             return;
         }
         granted.insert(replica);
@@ -155,7 +155,7 @@
         let ReplicaRole::Candidate(granted) = &mut self.role else {
             return;
         };
-        if !group.has(replica) {
+        if !group.has_voter(replica) {
             return;
         }
         granted.insert(replica);
--- a/crates/engine/src/replication/follower.rs
+++ b/crates/engine/src/replication/follower.rs
@@ -81,7 +81,7 @@
             return self.acknowledge(address, replica, answer);
         }
         self.record_leader_contact(context, address);
-        if !snapshot.catalogue.is_sound() {
+        if !snapshot.catalogue.has_valid_digest() {
             return;
         }
         answer.is_accepted = true;
--- a/crates/engine/src/replication/group.rs
+++ b/crates/engine/src/replication/group.rs
@@ -102,18 +102,18 @@
         let first = ids::LogPosition(1);
         let founding = self.log.get(first).filter(|_| self.commit >= first);
         founding.is_some_and(|entry| match &entry.payload {
-            wire::LogPayload::Group(group) => group.has(self.hard_state.replica),
+            wire::LogPayload::Group(group) => group.has_voter(self.hard_state.replica),
             _ => false,
         })
     }
 
-    pub(super) fn standing(&self) -> wire::ReplicaStanding {
+    pub(super) fn standing(&self) -> wire::ReplicaStatus {
         if self.is_voter() {
-            wire::ReplicaStanding::Voter
+            wire::ReplicaStatus::Voter
         } else if self.hard_state.is_forming {
-            wire::ReplicaStanding::Forming
+            wire::ReplicaStatus::Forming
         } else {
-            wire::ReplicaStanding::Learner
+            wire::ReplicaStatus::Learner
         }
     }
 
@@ -129,8 +129,8 @@
             self.send_introduction(context, from.address, Some(replica), false);
         }
         // A voter of an older configuration that was removed while it was away is a learner now.
-        let is_forming = introduction.standing == wire::ReplicaStanding::Forming;
-        if !is_forming && !self.log.group().has(replica) {
+        let is_forming = introduction.standing == wire::ReplicaStatus::Forming;
+        if !is_forming && !self.log.group().has_voter(replica) {
             self.track_learner(context, from, replica);
         }
         // The leader may not be in anyone's settings; its followers tell where it is.
@@ -175,7 +175,7 @@
         let ReplicaRole::Leader(leader) = &mut self.role else {
             return;
         };
-        let is_voter = |id: &ids::ReplicaId| self.log.group().has(*id);
+        let is_voter = |id: &ids::ReplicaId| self.log.group().has_voter(*id);
         leader
             .replicas
             .retain(|id, known| known.address != from.address || is_voter(id) || *id == replica);
@@ -219,7 +219,7 @@
                 return;
             };
             let introduction = &known.introduction;
-            let is_ready = introduction.standing == wire::ReplicaStanding::Forming
+            let is_ready = introduction.standing == wire::ReplicaStatus::Forming
                 && introduction.control == control
                 && context.is_recent(known.heard_at);
             if !is_ready {
@@ -332,7 +332,7 @@
         }
         let mut learners = leader.replicas.iter();
         let found = learners.find(|(replica, progress)| {
-            !group.has(**replica) && progress.instance.as_ref() == Some(instance)
+            !group.has_voter(**replica) && progress.instance.as_ref() == Some(instance)
         });
         let Some((replica, progress)) = found else {
             if group.voters.iter().any(|voter| voter.instance == *instance) {
--- a/crates/engine/src/replication/healing.rs
+++ b/crates/engine/src/replication/healing.rs
@@ -135,7 +135,7 @@
     ) -> impl Iterator<Item = (&'a ids::ReplicaId, &'a leader::ReplicaProgress)> {
         let group = self.log.group();
         let replicas = leader.replicas.iter();
-        replicas.filter(|(replica, _)| !group.has(**replica))
+        replicas.filter(|(replica, _)| !group.has_voter(**replica))
     }
 
     /// Forgets learners that have been silent for long, so that nothing more is sent to them.
@@ -144,7 +144,7 @@
         let group = self.log.group();
         if let ReplicaRole::Leader(leader) = &mut self.role {
             leader.replicas.retain(|replica, progress| {
-                group.has(*replica) || context.now.since(progress.heard_at) < silence_limit
+                group.has_voter(*replica) || context.now.since(progress.heard_at) < silence_limit
             });
         }
     }
--- a/crates/engine/src/replication/view.rs
+++ b/crates/engine/src/replication/view.rs
@@ -141,8 +141,8 @@
     fn role_name(&self) -> &'static str {
         match (&self.role, self.standing()) {
             (ReplicaRole::Leader(_), _) => LEADER_ROLE,
-            (_, wire::ReplicaStanding::Forming) => "forming",
-            (_, wire::ReplicaStanding::Learner) => "learner",
+            (_, wire::ReplicaStatus::Forming) => "forming",
+            (_, wire::ReplicaStatus::Learner) => "learner",
             (ReplicaRole::Follower, _) => "follower",
             _ => "candidate",
         }
--- a/crates/engine/src/replication/window.rs
+++ b/crates/engine/src/replication/window.rs
@@ -6,7 +6,7 @@
 use hazeltiller_wire::{codec, replication as wire};
 
 /// Soft limit for the entries in one message; only the last entry may exceed it. Together with the
-/// largest change that an operator can send, a message stays well below [`codec::LARGEST_FRAME`].
+/// largest change that an operator can send, a message stays well below [`codec::MAX_FRAME_BYTES`].
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// An entry with its encoded size.
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -161,7 +161,7 @@
         return cohort::CallCohort::Any;
     };
     let (phase, share_permille, within_ms) = (entry.phase, entry.share_permille, entry.within_ms);
-    let share = f64::from(share_permille) / f64::from(rollout::WHOLE_PERMILLE);
+    let share = f64::from(share_permille) / f64::from(rollout::FULL_SHARE_PERMILLE);
     match phase {
         rollout::RolloutPhase::Succeeded | rollout::RolloutPhase::RolledBack => {
             cohort::CallCohort::Any
@@ -326,7 +326,7 @@
     let slots = cohort::SlotCount::of(state, entry);
     plan::RolloutSituation {
         phase: entry.phase,
-        share: f64::from(entry.share_permille) / f64::from(rollout::WHOLE_PERMILLE),
+        share: f64::from(entry.share_permille) / f64::from(rollout::FULL_SHARE_PERMILLE),
         within: Duration::from_millis(u64::from(entry.within_ms)),
         elapsed: known
             .has_seen_start
--- a/crates/engine/src/rollout/plan.rs
+++ b/crates/engine/src/rollout/plan.rs
@@ -143,7 +143,7 @@
         {
             (situation.nodes_behind == 0).then(|| RolloutStep {
                 phase: rollout::RolloutPhase::Switched,
-                share_permille: rollout::WHOLE_PERMILLE,
+                share_permille: rollout::FULL_SHARE_PERMILLE,
                 reason: "nothing found against it at a wider share".into(),
             })
         }
@@ -209,7 +209,7 @@
 fn succeed(reason: &str) -> RolloutStep {
     RolloutStep {
         phase: rollout::RolloutPhase::Succeeded,
-        share_permille: rollout::WHOLE_PERMILLE,
+        share_permille: rollout::FULL_SHARE_PERMILLE,
         reason: reason.into(),
     }
 }
--- a/crates/engine/src/rollout/tally.rs
+++ b/crates/engine/src/rollout/tally.rs
@@ -95,7 +95,7 @@
     pub fn record(&mut self, route: &ids::EntryName, duration: Duration, result: calls::RunResult) {
         let tally = self.routes.entry(route.clone());
         let tally = tally.or_insert_with(|| wire::RouteTally::new(route.clone()));
-        let class = wire::time_class(duration);
+        let class = wire::latency_bucket(duration);
         match result {
             calls::RunResult::Done { status } if status != SHED_STATUS => {
                 tally.answered += 1;
@@ -103,7 +103,7 @@
                 tally.times[class] += 1;
             }
             calls::RunResult::TimedOut | calls::RunResult::CallerGone => {
-                tally.given_up.resize(wire::TIME_CLASSES, 0);
+                tally.given_up.resize(wire::LATENCY_BUCKETS, 0);
                 tally.given_up[class] += 1;
             }
             _ => {}
--- a/crates/engine/src/rollout/verdict.rs
+++ b/crates/engine/src/rollout/verdict.rs
@@ -18,7 +18,7 @@
 const MIN_BASELINE_RUNS: f64 = 20.0;
 /// Number of time classes above the old version's median from which a run is slow: four times as
 /// long.
-const SLOW_CLASS_OFFSET: usize = 2 * wire::CLASSES_PER_DOUBLING;
+const SLOW_CLASS_OFFSET: usize = 2 * wire::BUCKETS_PER_DOUBLING;
 /// Sum of log-likelihood ratios at which the version is judged bad.
 const REJECTION_SCORE: f64 = 18.0;
 /// Share of that sum that one group can contribute, by the number of canary targets.
@@ -60,9 +60,9 @@
     /// Number of answered runs that failed.
     pub failed: f64,
     /// Answered runs by time class.
-    pub times: [f64; wire::TIME_CLASSES],
+    pub times: [f64; wire::LATENCY_BUCKETS],
     /// Runs that were given up, by class of the time spent.
-    pub given_up: [f64; wire::TIME_CLASSES],
+    pub given_up: [f64; wire::LATENCY_BUCKETS],
 }
 
 impl RunCounts {
@@ -77,7 +77,7 @@
             failed: increase(current.failed, previous.failed),
             ..Self::default()
         };
-        for class in 0..wire::TIME_CLASSES {
+        for class in 0..wire::LATENCY_BUCKETS {
             counts.times[class] = increase(at(&current.times, class), at(&previous.times, class));
             counts.given_up[class] =
                 increase(at(&current.given_up, class), at(&previous.given_up, class));
@@ -89,7 +89,7 @@
     pub fn add(&mut self, other: &Self) {
         self.answered += other.answered;
         self.failed += other.failed;
-        for class in 0..wire::TIME_CLASSES {
+        for class in 0..wire::LATENCY_BUCKETS {
             self.times[class] += other.times[class];
             self.given_up[class] += other.given_up[class];
         }
@@ -98,7 +98,7 @@
     fn scale(&mut self, factor: f64) {
         self.answered *= factor;
         self.failed *= factor;
-        for class in 0..wire::TIME_CLASSES {
+        for class in 0..wire::LATENCY_BUCKETS {
             self.times[class] *= factor;
             self.given_up[class] *= factor;
         }
@@ -271,7 +271,7 @@
     /// Returns the time class from which a run is slow; `None` if there are too few runs to tell.
     fn first_slow_class(&self) -> Option<usize> {
         let runs = self.long_term();
-        let slow_class = (runs.median_class() + SLOW_CLASS_OFFSET).min(wire::TIME_CLASSES - 1);
+        let slow_class = (runs.median_class() + SLOW_CLASS_OFFSET).min(wire::LATENCY_BUCKETS - 1);
         (runs.answered >= MIN_BASELINE_RUNS).then_some(slow_class)
     }
 
--- a/crates/engine/tests/dissemination.rs
+++ b/crates/engine/tests/dissemination.rs
@@ -397,7 +397,7 @@
         );
         fleet.run(Duration::from_millis(1));
         let sent = &fleet.processes[&name].sent;
-        sent.get(&message::ByteReason::Snapshot)
+        sent.get(&message::TrafficCategory::Snapshot)
             .map_or(0, |(frames, _)| *frames)
     };
     let sent_counts: Vec<u64> = (1..=6)
@@ -432,7 +432,7 @@
         .filter(|(reason, _)| {
             matches!(
                 reason,
-                message::ByteReason::Delta | message::ByteReason::Snapshot
+                message::TrafficCategory::Delta | message::TrafficCategory::Snapshot
             )
         })
         .map(|(_, (_, bytes))| bytes)
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -88,7 +88,7 @@
                 wire_ledger::ClaimRecord::Standing(_) => {}
             }
         }
-        let whole = wire_ledger::ClaimsStanding::Whole;
+        let whole = wire_ledger::ClaimsCompleteness::Whole;
         let acceptor = ledger::acceptor::AcceptorState::recover(stored, whole);
         self.state.ledger.acceptor = Some(acceptor);
     }
@@ -185,7 +185,7 @@
         };
         if end == 0 {
             self.answers += 1;
-            let answer = wire_ledger::KeptAnswer {
+            let answer = wire_ledger::StoredAnswer {
                 status: 200,
                 headers: Vec::new(),
                 body: Vec::new(),
@@ -480,7 +480,7 @@
 #[test]
 fn lost_disk_waits() {
     let mut group = Group::new(1);
-    let lost = wire_ledger::ClaimsStanding::Lost;
+    let lost = wire_ledger::ClaimsCompleteness::Lost;
     let acceptor = ledger::acceptor::AcceptorState::recover(IndexMap::new(), lost);
     group.processes[0].state.ledger.acceptor = Some(acceptor);
     group.send_request(1);
--- a/crates/engine/tests/replication/network.rs
+++ b/crates/engine/tests/replication/network.rs
@@ -194,7 +194,7 @@
                 let is_ours = matches!(message, message::PeerMessage::Replication(_));
                 if let Some(to) = wanted.filter(|_| is_ours) {
                     let bytes = codec::encoded_size(&message);
-                    assert!(bytes < codec::LARGEST_FRAME, "{bytes} bytes fit no frame");
+                    assert!(bytes < codec::MAX_FRAME_BYTES, "{bytes} bytes fit no frame");
                     let from = self.controls[index].state.settings.identity.clone();
                     self.messages.push(FakeMessage { from, to, message });
                 }
@@ -240,7 +240,7 @@
             "the version went back"
         );
         assert!(
-            log.committed().is_sound(),
+            log.committed().has_valid_digest(),
             "the digest is that of the content"
         );
         for (id, receipt) in &self.acknowledged {
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -265,7 +265,7 @@
     }
     let (_, _, tally) = table.iter().next().expect("a route had runs");
     assert_eq!((tally.answered, tally.failed), (2, 1));
-    let class = wire::time_class(took);
+    let class = wire::latency_bucket(took);
     assert_eq!((tally.times[class], tally.given_up[class]), (2, 2));
 }
 
--- a/crates/engine/tests/transit.rs
+++ b/crates/engine/tests/transit.rs
@@ -56,7 +56,7 @@
             latency_left_ms: 100,
             ..node::offer(TARGET, "registru", "counter")
         };
-        offer.spend(millis(spent_ms));
+        offer.subtract_elapsed(millis(spent_ms));
         assert_eq!(offer.latency_left_ms, 0);
         let call = ids::CallId(spent_ms);
         let effects = node.call(calls::CallEvent::Offered { call, offer });
--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -32,7 +32,7 @@
     /// Claims by request, in the order in which they were stored.
     pub claims: IndexMap<ledger::RequestDigest, ledger::StoredClaim>,
     /// Whether claims that were reported as durable can be missing.
-    pub standing: ledger::ClaimsStanding,
+    pub standing: ledger::ClaimsCompleteness,
 }
 
 /// Storage of claims. A trait, so that tests can substitute a failing disk.
@@ -72,9 +72,9 @@
         };
         if bytes.is_empty() {
             let standing = if is_folder_new {
-                ledger::ClaimsStanding::Unproven
+                ledger::ClaimsCompleteness::Unproven
             } else {
-                ledger::ClaimsStanding::Lost
+                ledger::ClaimsCompleteness::Lost
             };
             return Self::create(folder, standing);
         }
@@ -99,14 +99,14 @@
                 log::error!("{}: {error}; the file is moved aside", error.code());
                 let damaged_path = folder.join(DAMAGED_FILE);
                 fs::rename(&path, damaged_path).context(disk_context("moving aside"))?;
-                Self::create(folder, ledger::ClaimsStanding::Lost)
+                Self::create(folder, ledger::ClaimsCompleteness::Lost)
             }
         }
     }
 
     fn create(
         folder: &Path,
-        standing: ledger::ClaimsStanding,
+        standing: ledger::ClaimsCompleteness,
     ) -> Result<(Self, RecoveredClaims), error::StoreError> {
         let path = folder.join(CLAIMS_FILE);
         let file = fs::File::create(&path).context(error::DiskSnafu {
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -287,7 +287,7 @@
             return Err(record::damaged(path, first, message));
         }
     };
-    if !snapshot.catalogue.is_sound() {
+    if !snapshot.catalogue.has_valid_digest() {
         let message = "the catalogue does not match its digest".into();
         return Err(record::damaged(path, first, message));
     }
--- a/crates/store/tests/claims.rs
+++ b/crates/store/tests/claims.rs
@@ -4,7 +4,7 @@
 
 use hazeltiller_store::claims::{self, ClaimStore};
 use hazeltiller_units::ids;
-use hazeltiller_wire::ledger::{ClaimId, ClaimRecord, ClaimsStanding, RequestDigest};
+use hazeltiller_wire::ledger::{ClaimId, ClaimRecord, ClaimsCompleteness, RequestDigest};
 
 fn claim(number: u64) -> ClaimId {
     ClaimId {
@@ -20,9 +20,9 @@
 
 fn write_claims(folder: &Path) {
     let (mut file, recovered) = claims::ClaimFile::open(folder, true).expect("the folder is empty");
-    assert_eq!(recovered.standing, ClaimsStanding::Unproven);
+    assert_eq!(recovered.standing, ClaimsCompleteness::Unproven);
     assert!(recovered.claims.is_empty());
-    file.append(&[ClaimRecord::Standing(ClaimsStanding::Whole)])
+    file.append(&[ClaimRecord::Standing(ClaimsCompleteness::Whole)])
         .expect("the write succeeds");
     file.append(&[stored_record(1), stored_record(2)])
         .expect("the write succeeds");
@@ -38,7 +38,7 @@
     let numbers = recovered.claims.keys().map(|request| request.0[0]);
     (
         numbers.collect(),
-        recovered.standing == ClaimsStanding::Whole,
+        recovered.standing == ClaimsCompleteness::Whole,
     )
 }
 
@@ -115,7 +115,7 @@
     let (mut file, _recovered) =
         claims::ClaimFile::open(folder.path(), false).expect("the file opens");
     let whole = [
-        ClaimRecord::Standing(ClaimsStanding::Whole),
+        ClaimRecord::Standing(ClaimsCompleteness::Whole),
         stored_record(3),
     ];
     file.rewrite(&whole).expect("the write succeeds");
--- a/crates/testkit/src/reducers.rs
+++ b/crates/testkit/src/reducers.rs
@@ -28,7 +28,7 @@
 pub type LinkFault = Box<dyn Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool>;
 
 /// Frames and bytes by reason.
-pub type ReasonBytes = IndexMap<message::ByteReason, (u64, u64)>;
+pub type ReasonBytes = IndexMap<message::TrafficCategory, (u64, u64)>;
 
 /// One reducer.
 pub struct FakeProcess {
@@ -433,7 +433,7 @@
     }
 
     fn count(&mut self, from: &str, message: &message::PeerMessage) {
-        let reason = message.reason();
+        let reason = message.category();
         let frame = message::PeerFrame {
             clock: message::HybridTime {
                 wall: time::WallTime(1_800_000_000_000),
@@ -446,7 +446,7 @@
         let (frames, sum) = process.sent.entry(reason).or_default();
         *frames += 1;
         *sum += bytes;
-        if reason == message::ByteReason::Gossip {
+        if reason == message::TrafficCategory::Gossip {
             process.largest_gossip = process.largest_gossip.max(bytes);
         }
     }
--- a/crates/testkit/src/rollouts.rs
+++ b/crates/testkit/src/rollouts.rs
@@ -306,7 +306,7 @@
             failed: f64::from(u8::from(has_failed)),
             ..verdict::RunCounts::default()
         };
-        counts.times[wire::time_class(Duration::from_secs_f64(millis / 1e3))] = 1.0;
+        counts.times[wire::latency_bucket(Duration::from_secs_f64(millis / 1e3))] = 1.0;
         counts
     }
 
--- a/crates/units/src/ids.rs
+++ b/crates/units/src/ids.rs
@@ -9,12 +9,12 @@
 use snafu::Snafu;
 
 /// Longest accepted name, in bytes.
-pub const LONGEST_NAME: usize = 96;
+pub const MAX_NAME_BYTES: usize = 96;
 
 /// Why a text is not a name.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
-    "{text:?} is not a {role}: 1 to {LONGEST_NAME} letters, digits, '-', '_', '.' or ':' are allowed"
+    "{text:?} is not a {role}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.' or ':' are allowed"
 ))]
 pub struct NameError {
     /// The role of the name, such as "service name".
@@ -25,7 +25,7 @@
 
 fn is_name(text: &str) -> bool {
     let printable = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
-    !text.is_empty() && text.len() <= LONGEST_NAME && text.bytes().all(printable)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(printable)
 }
 
 macro_rules! name_type {
@@ -55,7 +55,7 @@
                 if is_name(text) {
                     Ok(Self(text.into()))
                 } else {
-                    let text = text.chars().take(LONGEST_NAME).collect();
+                    let text = text.chars().take(MAX_NAME_BYTES).collect();
                     Err(NameError { role: $role, text })
                 }
             }
--- a/crates/wire/src/calls.rs
+++ b/crates/wire/src/calls.rs
@@ -59,7 +59,7 @@
 
 impl CallOutcome {
     /// The word in the header.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
             Self::Unknown => "unknown",
@@ -89,7 +89,7 @@
 
 impl LimitField {
     /// The field as operators write it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Slots => "slots",
             Self::Queue => "queue",
@@ -113,7 +113,7 @@
 
 impl fmt::Display for CallLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} limits.{}", self.entry, self.field.word())
+        write!(f, "{} limits.{}", self.entry, self.field.as_str())
     }
 }
 
@@ -166,7 +166,7 @@
 
     /// The same refusal, naming the limit that did it and when to come back.
     #[must_use]
-    pub fn by_limit(self, limit: CallLimit, retry_after_ms: u32) -> Self {
+    pub fn with_limit(self, limit: CallLimit, retry_after_ms: u32) -> Self {
         Self {
             limit: Some(limit),
             retry_after_ms,
@@ -226,7 +226,7 @@
 
 /// The part of an offer that differs from call to call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OfferTry {
+pub struct OfferAttempt {
     target: ids::TargetName,
     deadline_left_ms: u32,
     attempt: u32,
@@ -242,12 +242,12 @@
     /// The sender's boot clock, in milliseconds.
     pub sent_ms: u64,
     /// The offer's part.
-    pub attempt: OfferTry,
+    pub attempt: OfferAttempt,
 }
 
 impl CallOffer {
     /// Its two parts, for the wire.
-    pub fn split(self) -> (OfferTerms, OfferTry) {
+    pub fn split(self) -> (OfferTerms, OfferAttempt) {
         let terms = OfferTerms {
             route: self.route,
             service: self.service,
@@ -258,7 +258,7 @@
             is_idempotent: self.is_idempotent,
             caller: self.caller,
         };
-        let attempt = OfferTry {
+        let attempt = OfferAttempt {
             target: self.target,
             deadline_left_ms: self.deadline_left_ms,
             attempt: self.attempt,
@@ -271,14 +271,14 @@
     }
 
     /// Takes time that passed on the way off what is left.
-    pub fn spend(&mut self, span: Duration) {
+    pub fn subtract_elapsed(&mut self, span: Duration) {
         let millis = u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
         self.deadline_left_ms = self.deadline_left_ms.saturating_sub(millis);
         self.latency_left_ms = self.latency_left_ms.saturating_sub(millis);
     }
 
     /// The offer of two parts.
-    pub fn join(terms: OfferTerms, attempt: OfferTry) -> Self {
+    pub fn join(terms: OfferTerms, attempt: OfferAttempt) -> Self {
         Self {
             target: attempt.target,
             route: terms.route,
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -8,9 +8,9 @@
 use snafu::Snafu;
 
 /// Largest frame, in bytes, compressed or not.
-pub const LARGEST_FRAME: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Bytes before a frame: its length, as a little-endian 32-bit number.
-pub const LENGTH_BYTES: usize = 4;
+pub const LENGTH_PREFIX_BYTES: usize = 4;
 /// From this size on a frame is compressed.
 const COMPRESS_FROM: usize = 512;
 const COMPRESSION_LEVEL: i32 = 1;
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum CodecError {
     /// The frame is larger than allowed.
-    #[snafu(display("a frame of {size} bytes is over the limit of {LARGEST_FRAME}"))]
+    #[snafu(display("a frame of {size} bytes is over the limit of {MAX_FRAME_BYTES}"))]
     TooLarge {
         /// Its size.
         size: usize,
@@ -61,16 +61,16 @@
 /// A frame with its length prefix, ready to be written.
 pub fn encode_frame<T: Serialize>(value: &T) -> Vec<u8> {
     let body = encode_body(value);
-    let mut frame = Vec::with_capacity(body.len() + LENGTH_BYTES);
+    let mut frame = Vec::with_capacity(body.len() + LENGTH_PREFIX_BYTES);
     frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
     frame.extend_from_slice(&body);
     frame
 }
 
 /// Length of the body behind a prefix, if it is within the limit.
-pub fn frame_length(prefix: [u8; LENGTH_BYTES]) -> Result<usize, CodecError> {
+pub fn frame_length(prefix: [u8; LENGTH_PREFIX_BYTES]) -> Result<usize, CodecError> {
     let size = u32::from_le_bytes(prefix) as usize;
-    if size > LARGEST_FRAME {
+    if size > MAX_FRAME_BYTES {
         Err(CodecError::TooLarge { size })
     } else {
         Ok(size)
@@ -106,7 +106,7 @@
 /// by its own claim and by the limit.
 fn plain_size(compressed: &[u8]) -> Result<usize, CodecError> {
     match zstd::zstd_safe::get_frame_content_size(compressed) {
-        Ok(Some(size)) if size <= LARGEST_FRAME as u64 => Ok(size as usize),
+        Ok(Some(size)) if size <= MAX_FRAME_BYTES as u64 => Ok(size as usize),
         Ok(Some(size)) => Err(CodecError::TooLarge {
             size: size as usize,
         }),
--- a/crates/wire/src/dissemination.rs
+++ b/crates/wire/src/dissemination.rs
@@ -46,16 +46,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChildReport {
     /// What it has in force itself.
-    pub held: membership::ShortMark,
+    pub held: membership::VersionSummary,
     /// What its subtree has in force, itself included.
     pub subtree: SubtreeReport,
 }
 
 /// What a parent tells a child.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ParentMark {
+pub struct ParentStatus {
     /// What it has in force.
-    pub held: membership::ShortMark,
+    pub held: membership::VersionSummary,
     /// Processes from a control down to the parent, as four bytes of their names' digests; empty
     /// while the parent itself has no way to a control.
     pub path: Vec<u32>,
@@ -102,7 +102,7 @@
     /// A child's report that its subtree has reached a version.
     Ack(ChildReport),
     /// A parent's answer to a keepalive.
-    Parent(ParentMark),
+    Parent(ParentStatus),
     /// No place here; the addresses may have one.
     Redirect(Vec<SocketAddr>),
     /// The changes after the receiver's version.
--- a/crates/wire/src/document.rs
+++ b/crates/wire/src/document.rs
@@ -8,7 +8,7 @@
 /// Compression level: the fastest of those that find long matches in the dictionary.
 const LEVEL: i32 = 3;
 /// Largest document, in bytes.
-pub const LARGEST_DOCUMENT: usize = 16 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
 
 /// Why a packed document cannot be read.
 #[derive(Debug, Snafu)]
@@ -20,7 +20,7 @@
         source: std::io::Error,
     },
     /// It does not say its size, or says one above the bound.
-    #[snafu(display("the document's size is missing or above {LARGEST_DOCUMENT} bytes"))]
+    #[snafu(display("the document's size is missing or above {MAX_DOCUMENT_BYTES} bytes"))]
     Sizeless,
     /// It is no text.
     #[snafu(display("the document is no text"))]
@@ -39,7 +39,7 @@
     let size = zstd::zstd_safe::get_frame_content_size(packed);
     let size = size.ok().flatten().context(SizelessSnafu)?;
     let size = usize::try_from(size).unwrap_or(usize::MAX);
-    snafu::ensure!(size <= LARGEST_DOCUMENT, SizelessSnafu);
+    snafu::ensure!(size <= MAX_DOCUMENT_BYTES, SizelessSnafu);
     let bytes = zstd::bulk::Decompressor::with_dictionary(previous.as_bytes())
         .and_then(|mut decompressor| decompressor.decompress(packed, size))
         .context(UnpackSnafu)?;
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -13,7 +13,7 @@
 /// Version of the handshake and of the messages behind it.
 pub const WIRE_VERSION: u16 = 3;
 /// Largest frame of the handshake, in bytes.
-pub const LARGEST_GREETING: usize = 4096;
+pub const MAX_HANDSHAKE_FRAME_BYTES: usize = 4096;
 
 /// What a connection is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkSide {
     /// The side that connected.
-    Opener,
+    Initiator,
     /// The side that was connected to.
-    Listener,
+    Responder,
 }
 
 /// The shared key of the group; never printed.
@@ -83,7 +83,7 @@
     }
 
     /// The proof of one side over both greetings.
-    pub fn prove(
+    pub fn compute_proof(
         &self,
         side: LinkSide,
         hello: &LinkHello,
@@ -93,8 +93,8 @@
         let mut mac =
             Hmac::<sha2::Sha256>::new_from_slice(&self.0).expect("a key of any length is accepted");
         mac.update(match side {
-            LinkSide::Opener => b"opener",
-            LinkSide::Listener => b"listen",
+            LinkSide::Initiator => b"opener",
+            LinkSide::Responder => b"listen",
         });
         let greeting = postcard::to_stdvec(&(hello, listener, listener_nonce))
             .expect("greetings hold no maps");
@@ -103,7 +103,7 @@
     }
 
     /// Whether a proof is the expected one, compared in constant time.
-    pub fn accepts(expected: &[u8; 32], proof: &[u8; 32]) -> bool {
+    pub fn verify_proof(expected: &[u8; 32], proof: &[u8; 32]) -> bool {
         expected.ct_eq(proof).into()
     }
 }
--- a/crates/wire/src/ledger.rs
+++ b/crates/wire/src/ledger.rs
@@ -29,7 +29,7 @@
 /// Whether claims that a control once granted can be missing from its file. Records number the cases in
 /// this order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimsStanding {
+pub enum ClaimsCompleteness {
     /// Some may be: the file was lost or damaged.
     #[default]
     Lost,
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimRecord {
     /// What can be missing before this record.
-    Standing(ClaimsStanding),
+    Standing(ClaimsCompleteness),
     /// A claim is kept.
     Kept(RequestDigest, ClaimId),
     /// The request of a claim ran.
@@ -64,7 +64,7 @@
 
 /// A target's answer as it is kept for resends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Header lines.
@@ -73,7 +73,7 @@
     pub body: Vec<u8>,
 }
 
-impl KeptAnswer {
+impl StoredAnswer {
     /// Bytes that it takes.
     pub fn size(&self) -> usize {
         let headers = self.headers.iter();
@@ -90,7 +90,7 @@
     /// Nothing of it was sent under this claim, and nothing will be.
     NeverRan,
     /// It ran; the answer if it is still kept.
-    Finished(Option<KeptAnswer>),
+    Finished(Option<StoredAnswer>),
     /// It may have run.
     Unknown,
 }
--- a/crates/wire/src/membership.rs
+++ b/crates/wire/src/membership.rs
@@ -105,7 +105,7 @@
 
 /// What a process holds of the catalogue, in short.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShortMark {
+pub struct VersionSummary {
     /// Version in force.
     pub version: ids::CatalogueVersion,
     /// First bytes of its digest.
@@ -125,7 +125,7 @@
 
 /// Time since anything was heard from a data centre, directly or through others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CentreAge {
+pub struct DataCentreAge {
     /// Short digest of the data centre's name, cut to four bytes.
     pub centre: u32,
     /// The time, in milliseconds.
@@ -138,9 +138,9 @@
     /// Digest of the sender's table.
     pub table: ShortDigest,
     /// What the sender holds of the catalogue.
-    pub held: ShortMark,
+    pub held: VersionSummary,
     /// When data centres were last heard from.
-    pub ages: Vec<CentreAge>,
+    pub ages: Vec<DataCentreAge>,
     /// Records that are news at the sender.
     pub records: Vec<MemberRecord>,
     /// Suspicions that are news at the sender.
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -24,7 +24,7 @@
 
 /// What control bytes are spent on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum ByteReason {
+pub enum TrafficCategory {
     /// Changes on their way to nodes.
     Delta,
     /// Whole catalogues on their way to nodes.
@@ -43,7 +43,7 @@
     Rollout,
 }
 
-impl ByteReason {
+impl TrafficCategory {
     /// Every reason, in the order of its number.
     pub const ALL: [Self; 8] = [
         Self::Delta,
@@ -57,7 +57,7 @@
     ];
 
     /// The word in status and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Delta => "delta",
             Self::Snapshot => "snapshot",
@@ -73,18 +73,18 @@
 
 impl PeerMessage {
     /// What its bytes are spent on.
-    pub fn reason(&self) -> ByteReason {
+    pub fn category(&self) -> TrafficCategory {
         match self {
-            Self::Replication(_) => ByteReason::Replication,
-            Self::Membership(_) => ByteReason::Gossip,
-            Self::Ledger(_) | Self::Quarantine(_) => ByteReason::Claims,
-            Self::Rollout(_) => ByteReason::Rollout,
+            Self::Replication(_) => TrafficCategory::Replication,
+            Self::Membership(_) => TrafficCategory::Gossip,
+            Self::Ledger(_) | Self::Quarantine(_) => TrafficCategory::Claims,
+            Self::Rollout(_) => TrafficCategory::Rollout,
             Self::Dissemination(message) => match message {
-                dissemination::DisseminationMessage::Delta(_) => ByteReason::Delta,
-                dissemination::DisseminationMessage::Snapshot(_) => ByteReason::Snapshot,
+                dissemination::DisseminationMessage::Delta(_) => TrafficCategory::Delta,
+                dissemination::DisseminationMessage::Snapshot(_) => TrafficCategory::Snapshot,
                 dissemination::DisseminationMessage::Ack(_)
-                | dissemination::DisseminationMessage::Tally(_) => ByteReason::Ack,
-                _ => ByteReason::Keepalive,
+                | dissemination::DisseminationMessage::Tally(_) => TrafficCategory::Ack,
+                _ => TrafficCategory::Keepalive,
             },
         }
     }
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -57,7 +57,7 @@
 
 impl ControlGroup {
     /// Whether a replica votes.
-    pub fn has(&self, replica: ids::ReplicaId) -> bool {
+    pub fn has_voter(&self, replica: ids::ReplicaId) -> bool {
         self.voters.iter().any(|voter| voter.replica == replica)
     }
 
@@ -153,7 +153,7 @@
 
 /// Where a replica stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ReplicaStanding {
+pub enum ReplicaStatus {
     /// Waits for the first group to be founded.
     Forming,
     /// Has no vote.
@@ -166,7 +166,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIntroduction {
     /// Where it stands.
-    pub standing: ReplicaStanding,
+    pub standing: ReplicaStatus,
     /// The control addresses of its settings, in order.
     pub control: Vec<SocketAddr>,
     /// The voters that it knows of.
--- a/crates/wire/src/rollout.rs
+++ b/crates/wire/src/rollout.rs
@@ -8,18 +8,18 @@
 
 /// Classes of run times that are told apart; each begins at the square root of two times the
 /// beginning of the one before.
-pub const TIME_CLASSES: usize = 20;
+pub const LATENCY_BUCKETS: usize = 20;
 /// Time that the second class begins at, in milliseconds.
 const SECOND_CLASS_MS: f64 = 4.0;
 /// Classes over which times double.
-pub const CLASSES_PER_DOUBLING: usize = 2;
+pub const BUCKETS_PER_DOUBLING: usize = 2;
 
 /// The class of a run's time.
-pub fn time_class(took: std::time::Duration) -> usize {
+pub fn latency_bucket(took: std::time::Duration) -> usize {
     let ratio = took.as_secs_f64() * 1e3 / SECOND_CLASS_MS;
-    let above = ratio.log2() * CLASSES_PER_DOUBLING as f64;
+    let above = ratio.log2() * BUCKETS_PER_DOUBLING as f64;
     // The cast takes what is below the second class, also a time of zero, for zero.
-    ((above.floor() + 1.0) as usize).min(TIME_CLASSES - 1)
+    ((above.floor() + 1.0) as usize).min(LATENCY_BUCKETS - 1)
 }
 
 /// Runs of one route at one target.
@@ -45,7 +45,7 @@
             route,
             answered: 0,
             failed: 0,
-            times: vec![0; TIME_CLASSES],
+            times: vec![0; LATENCY_BUCKETS],
             given_up: Vec::new(),
         }
     }
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -60,7 +60,7 @@
 /// What a decoder may ask for at once: a compressed frame may claim up to the limit.
 fn allocation_bound(bytes: &[u8]) -> usize {
     if bytes.first() == Some(&1) {
-        codec::LARGEST_FRAME
+        codec::MAX_FRAME_BYTES
     } else {
         SMALL_ALLOCATION
     }
@@ -258,7 +258,7 @@
 
 #[test]
 fn damaged_headers() {
-    let refusal = calls::CallRefusal::not_run(code::ResultCode::RateExceeded).by_limit(
+    let refusal = calls::CallRefusal::not_run(code::ResultCode::RateExceeded).with_limit(
         calls::CallLimit {
             entry: entry::EntryKey {
                 kind: entry::EntryKind::Owner,
@@ -292,15 +292,15 @@
 
 #[test]
 fn compressed_bombs() {
-    let zeros = vec![0; 4 * codec::LARGEST_FRAME];
+    let zeros = vec![0; 4 * codec::MAX_FRAME_BYTES];
     let mut bomb = zstd::bulk::compress(&zeros, 1).expect("memory takes it");
     bomb.insert(0, 1);
     drop(zeros);
     let (taken, largest) = largest_in(|| codec::decode_body::<message::PeerFrame>(&bomb));
     taken.expect_err("it is over the limit");
-    assert!(largest <= codec::LARGEST_FRAME, "{largest} bytes at once");
+    assert!(largest <= codec::MAX_FRAME_BYTES, "{largest} bytes at once");
     assert_eq!(
-        codec::frame_length([255; codec::LENGTH_BYTES]),
+        codec::frame_length([255; codec::LENGTH_PREFIX_BYTES]),
         Err(codec::CodecError::TooLarge {
             size: u32::MAX as usize
         })
--- a/src/commands/read.rs
+++ b/src/commands/read.rs
@@ -84,7 +84,7 @@
         if let Some(kind) = self.kind
             && let Some(entries) = document["entries"].as_array_mut()
         {
-            entries.retain(|entry| entry["kind"] == kind.word());
+            entries.retain(|entry| entry["kind"] == kind.as_str());
         }
         if self.session.output == session::OutputForm::Json {
             println!("{document}");
--- a/tests/all/links.rs
+++ b/tests/all/links.rs
@@ -46,7 +46,7 @@
 }
 
 async fn read_frame(stream: &mut TcpStream) {
-    let mut prefix = [0; codec::LENGTH_BYTES];
+    let mut prefix = [0; codec::LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut prefix).await.expect("a frame comes");
     let size = codec::frame_length(prefix).expect("its length is sound");
     let mut body = vec![0; size];
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -98,7 +98,9 @@
         .expect("the key is right");
     let oversized = u32::MAX.to_le_bytes().to_vec();
     let garbage = [&4_u32.to_le_bytes()[..], &[0, 0xff, 0xff, 0xff]].concat();
-    let large_greeting = (wire::LARGEST_GREETING as u32 + 1).to_le_bytes().to_vec();
+    let large_greeting = (wire::MAX_HANDSHAKE_FRAME_BYTES as u32 + 1)
+        .to_le_bytes()
+        .to_vec();
     // What is sent, and whether the greeting comes first; the last is a byte and then silence.
     let table = [
         (oversized.clone(), true),
