--- a/crates/wire/src/calls.rs
+++ b/crates/wire/src/calls.rs
@@ -1,8 +1,9 @@
-//! What nodes tell each other about one call, beside the call itself.
+//! Metadata that nodes exchange about a call, and the headers that carry it.
 //!
-//! A call goes between nodes as HTTP/2; these records travel in headers of it, as base64 of
-//! the compact codec, so that a body never waits for them. On a narrow link they are a good part of
-//! what a call costs: names are short, and what repeats stands in a header of its own.
+//! Calls between nodes use HTTP/2. Their metadata is carried in headers, encoded with postcard and
+//! base64, so that it is complete before the first byte of the body. On a slow link it is a
+//! considerable part of a call's traffic; header names are therefore short, and values that repeat
+//! from call to call have a header of their own, which HTTP/2 header compression sends only once.
 
 use std::{fmt, time::Duration};
 
@@ -12,53 +13,56 @@
 
 use crate::ledger;
 
-/// What the names of the system's own headers begin with.
+/// Prefix of the names of the system's own headers.
 pub const HEADER_PREFIX: &str = "hazeltiller-";
-/// What the names of headers between nodes only begin with; short, for they go with every call.
+/// Prefix of the names of headers that are used between nodes only. Short, since every call
+/// carries them.
 pub const LINK_PREFIX: &str = "hz-";
-/// Header with the [`OfferTerms`] of a call. The same for every call of a route, so that the
-/// connection's header compression sends it once.
+/// Header with the [`OfferTerms`] of a call. Identical for all calls of a route, so that HTTP/2
+/// header compression sends it once per connection.
 pub const TERMS_HEADER: &str = "hz-t";
 /// Header with the [`SentOffer`] of a call.
 pub const OFFER_HEADER: &str = "hz-o";
-/// Header with the [`CallRefusal`] of an offer that was not taken.
+/// Header with the [`CallRefusal`] of an offer that was refused.
 pub const REFUSAL_HEADER: &str = "hz-r";
-/// Header of an answer with a [`LoadReport`].
+/// Response header with a [`LoadReport`].
 pub const LOAD_HEADER: &str = "hz-l";
-/// Header with the result code of an answer that the system made.
+/// Header with the result code of a response that the system generated itself.
 pub const CODE_HEADER: &str = "hazeltiller-code";
-/// Header with the outcome of an answer that the system made.
+/// Header with the [`CallOutcome`] of a response that the system generated itself.
 pub const OUTCOME_HEADER: &str = "hazeltiller-outcome";
-/// Header with the time that the caller leaves, in milliseconds.
+/// Header with the time left until the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "hazeltiller-deadline-ms";
-/// Header with the largest number of a try along a call's way, from 1: what calls on behalf of a
-/// call that is itself a second try passes it on.
+/// Header with the largest attempt number among a call and the calls that led to it, from 1. A
+/// service that makes further calls while it handles a call passes the header on, so that calls
+/// made for a retry are recognised as such.
 pub const ATTEMPT_HEADER: &str = "hazeltiller-attempt";
-/// Header with the limit that refused a call.
+/// Header with the [`CallLimit`] that caused a refusal.
 pub const LIMIT_HEADER: &str = "hazeltiller-limit";
-/// Header with the id of a request; what calls on behalf of a call passes it on.
+/// Header with the id of a request. A service that makes further calls while it handles a call
+/// passes the header on.
 pub const REQUEST_HEADER: &str = "hazeltiller-request";
-/// Header with the sender's hybrid logical time, between nodes only.
+/// Header with the sender's hybrid logical time; used between nodes only.
 pub const CLOCK_HEADER: &str = "hz-c";
 /// Header with the name of the target that answered.
 pub const TARGET_HEADER: &str = "hazeltiller-target";
-/// Header with the caller's key for a request that is sent again.
+/// Header with the caller's idempotency key, by which a resent request is recognised.
 pub const KEY_HEADER: &str = "idempotency-key";
 
-/// Whether a refused request ran.
+/// Whether a request that the system answered with an error was run by a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallOutcome {
-    /// It was proven not to have run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It ran, by an earlier send.
+    /// The request ran when it was sent earlier.
     Ran,
 }
 
 impl CallOutcome {
-    /// The word in the header.
+    /// Returns the header value.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -68,27 +72,27 @@
     }
 }
 
-/// A field of a catalogue entry that bounds calls.
+/// Field of a catalogue entry that limits calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LimitField {
-    /// Requests that a target runs at once.
+    /// Concurrent requests of a target.
     Slots,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot of a target.
     Queue,
-    /// Longest time in a queue.
+    /// Maximum time in a queue.
     QueueTime,
-    /// Cost units a second of an owner.
+    /// Cost units per second of an owner.
     Rate,
-    /// Time within which an answer is of full worth.
+    /// Latency up to which a response has its full value to the caller.
     TargetLatency,
-    /// Longest time of a call.
+    /// Maximum duration of a call.
     Deadline,
-    /// Times that a call is tried.
+    /// Maximum number of attempts of a call.
     Tries,
 }
 
 impl LimitField {
-    /// The field as operators write it.
+    /// Returns the name of the field in catalogue documents.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Slots => "slots",
@@ -102,12 +106,12 @@
     }
 }
 
-/// The limit that refused a call; written `owner registru limits.rate`.
+/// The limit that caused a refusal, displayed for example as `owner registru limits.rate`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallLimit {
-    /// The entry that sets it.
+    /// The entry that sets the limit.
     pub entry: entry::EntryKey,
-    /// Which of its limits.
+    /// The field of the entry.
     pub field: LimitField,
 }
 
@@ -117,25 +121,25 @@
     }
 }
 
-/// A refusal made by the system.
+/// Refusal of a call by the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRefusal {
-    /// Why.
+    /// Result code that states the reason.
     pub code: code::ResultCode,
-    /// Whether the request ran.
+    /// Whether the request was run.
     pub outcome: CallOutcome,
-    /// Whether another target may take it.
+    /// Whether another target may accept the call.
     pub elsewhere: bool,
-    /// When to come back, in milliseconds; 0 where it is not known.
+    /// Time after which the call may be retried, in milliseconds; 0 if unknown.
     pub retry_after_ms: u32,
-    /// The limit that did it, where one did.
+    /// The limit that caused the refusal, if any.
     pub limit: Option<CallLimit>,
-    /// What the owner node says of the target, where one refused.
+    /// Load of the target, if the refusal comes from its owner node.
     pub load: Option<LoadReport>,
 }
 
 impl CallRefusal {
-    /// A refusal of a call that did not run and that no other target can take either.
+    /// Creates a refusal of a call that did not run and that no other target can accept either.
     pub fn not_run(code: code::ResultCode) -> Self {
         Self {
             code,
@@ -147,7 +151,7 @@
         }
     }
 
-    /// A refusal of a call that may have run.
+    /// Creates a refusal of a call that may have run.
     pub fn unknown(code: code::ResultCode) -> Self {
         Self {
             outcome: CallOutcome::Unknown,
@@ -155,7 +159,7 @@
         }
     }
 
-    /// The same refusal, saying that another target may take the call.
+    /// Marks the call as one that another target may accept.
     #[must_use]
     pub fn elsewhere(self) -> Self {
         Self {
@@ -164,7 +168,7 @@
         }
     }
 
-    /// The same refusal, naming the limit that did it and when to come back.
+    /// Sets the limit that caused the refusal and the time after which the call may be retried.
     #[must_use]
     pub fn with_limit(self, limit: CallLimit, retry_after_ms: u32) -> Self {
         Self {
@@ -175,43 +179,43 @@
     }
 }
 
-/// A call offered to the node that owns the chosen target.
+/// A call offered to the owner node of the target chosen for it. The node accepts or refuses it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallOffer {
-    /// Chosen target.
+    /// The chosen target.
     pub target: ids::TargetName,
-    /// Route that the call took.
+    /// Route that the call matched.
     pub route: ids::EntryName,
     /// Service of the target.
     pub service: ids::EntryName,
-    /// Owner that the call is counted for.
+    /// Owner that the call is accounted to.
     pub owner: ids::EntryName,
-    /// Class that it is served in.
+    /// Class that determines the call's priority.
     pub class: ids::EntryName,
-    /// Its cost in units.
+    /// Cost of the call, in cost units.
     pub cost: u32,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub deadline_left_ms: u32,
-    /// Longest time to the first byte of the answer, in milliseconds.
+    /// Maximum time to the first byte of the response, in milliseconds.
     pub first_byte_ms: u32,
-    /// Number of the try, from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Option<String>,
-    /// Digest that stands for the request, where it can be told from others.
+    /// Digest that identifies the request; absent if it cannot be distinguished from others.
     pub fingerprint: Option<ledger::RequestDigest>,
-    /// Time left in which an answer is within the route's target latency, in milliseconds.
+    /// Time left within the route's target latency, in milliseconds.
     pub latency_left_ms: u32,
-    /// Longest wait for a slot that is better than another target, in milliseconds: where it would
-    /// be longer, the offer is given back at once.
+    /// Wait for a slot, in milliseconds, above which another target is preferable. If the expected
+    /// wait is longer, the owner node refuses the offer at once instead of queueing it.
     pub patience_ms: u32,
-    /// Service whose target the request came from, where it did.
+    /// Service of the target that sent the request, if it came from a target.
     pub caller: Option<ids::EntryName>,
 }
 
-/// The part of an offer that is the same for every call of a route.
+/// The part of an offer that is the same for all calls of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OfferTerms {
     route: ids::EntryName,
@@ -236,17 +240,17 @@
     patience_ms: u32,
 }
 
-/// The part of an offer that differs from call to call, as it is sent.
+/// The part of an offer that differs from call to call, with the time of sending.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentOffer {
-    /// The sender's boot clock, in milliseconds.
+    /// Time of sending by the sender's boot clock, in milliseconds.
     pub sent_ms: u64,
-    /// The offer's part.
+    /// The part of the offer.
     pub attempt: OfferAttempt,
 }
 
 impl CallOffer {
-    /// Its two parts, for the wire.
+    /// Splits the offer into the two parts that are sent in separate headers.
     pub fn split(self) -> (OfferTerms, OfferAttempt) {
         let terms = OfferTerms {
             route: self.route,
@@ -270,14 +274,14 @@
         (terms, attempt)
     }
 
-    /// Takes time that passed on the way off what is left.
-    pub fn subtract_elapsed(&mut self, span: Duration) {
-        let millis = u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
+    /// Subtracts the time spent in transit from the remaining times.
+    pub fn subtract_elapsed(&mut self, elapsed: Duration) {
+        let millis = u32::try_from(elapsed.as_millis()).unwrap_or(u32::MAX);
         self.deadline_left_ms = self.deadline_left_ms.saturating_sub(millis);
         self.latency_left_ms = self.latency_left_ms.saturating_sub(millis);
     }
 
-    /// The offer of two parts.
+    /// Reassembles an offer from its two parts.
     pub fn join(terms: OfferTerms, attempt: OfferAttempt) -> Self {
         Self {
             target: attempt.target,
@@ -299,19 +303,21 @@
     }
 }
 
-/// What the owner node says of a target with every answer.
+/// Load of a target, as its owner node reports it with every response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Requests running at the target.
     pub in_flight: u32,
-    /// Requests that wait, counted in runs of the mean length.
+    /// Length of the queue, expressed in runs of mean duration.
     pub queued: u32,
-    /// Requests that can run at once.
+    /// Requests that the target can run concurrently.
     pub slots: u32,
-    /// Smoothed time of a run of any route, in microseconds; 0 before the first. How fast slots free.
+    /// Smoothed run duration over all routes, in microseconds; 0 before the first run. Shows how
+    /// fast slots become free.
     pub service_us: u32,
-    /// The same of the route of the call that the report goes with. How fast the target is.
+    /// Smoothed run duration of the route of the call that the report accompanies, in microseconds.
+    /// Shows how fast the target is.
     pub route_us: u32,
-    /// Whether its owner node holds it unhealthy by the outcomes that it saw.
+    /// Whether the owner node considers the target unhealthy from the outcomes of its runs.
     pub is_failing: bool,
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,64 +1,69 @@
-//! Messages as bytes: postcard in a length-prefixed frame, compressed where that pays.
+//! Encoding of messages: postcard in length-prefixed frames, with larger bodies compressed.
 //!
-//! The length is checked before anything is allocated, and what a compressed frame may grow to is
-//! bounded too, so that a broken peer costs its own link and nothing else.
+//! The length is checked before anything is allocated, and the decompressed size is limited as
+//! well, so that a faulty peer can break its own link but not exhaust this process's memory.
 
 use base64::{Engine, engine};
 use serde::{Serialize, de::DeserializeOwned};
 use snafu::Snafu;
 
-/// Largest frame, in bytes, compressed or not.
+/// Maximum size of a frame in bytes, both compressed and decompressed.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Bytes before a frame: its length, as a little-endian 32-bit number.
+/// Size of the length prefix of a frame: a little-endian 32-bit number.
 pub const LENGTH_PREFIX_BYTES: usize = 4;
-/// From this size on a frame is compressed.
-const COMPRESS_FROM: usize = 512;
+/// Minimum size of an encoded message, in bytes, for it to be compressed.
+const MIN_COMPRESSED_BYTES: usize = 512;
 const COMPRESSION_LEVEL: i32 = 1;
-/// How bytes become a header's text: a third longer, where hexadecimal would double them.
-const HEADER_TEXT: engine::GeneralPurpose = engine::general_purpose::URL_SAFE_NO_PAD;
-const PLAIN: u8 = 0;
-const COMPRESSED: u8 = 1;
+/// Encoding of header values. Base64 adds a third to the size; hexadecimal would double it.
+const HEADER_ENCODING: engine::GeneralPurpose = engine::general_purpose::URL_SAFE_NO_PAD;
+/// First byte of a body that is not compressed.
+const UNCOMPRESSED_TAG: u8 = 0;
+/// First byte of a body that is compressed with Zstandard.
+const COMPRESSED_TAG: u8 = 1;
 
-/// Why bytes are not a message.
+/// Reason why bytes cannot be decoded as a message.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum CodecError {
-    /// The frame is larger than allowed.
+    /// The frame exceeds [`MAX_FRAME_BYTES`].
     #[snafu(display("a frame of {size} bytes is over the limit of {MAX_FRAME_BYTES}"))]
     TooLarge {
-        /// Its size.
+        /// Size of the frame, in bytes.
         size: usize,
     },
-    /// The bytes are no message of this version.
+    /// The bytes are not a valid message of this protocol version.
     #[snafu(display("the frame cannot be read: {message}"))]
     Malformed {
-        /// What was wrong.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// Bytes of a value in a frame before it is compressed.
+/// Returns the encoded size of a value in bytes, before compression and without the frame's
+/// overhead.
 pub fn encoded_size<T: Serialize>(value: &T) -> usize {
     let size = postcard::ser_flavors::Size::default();
-    postcard::serialize_with_flavor(value, size).expect("messages hold no maps of unknown length")
+    postcard::serialize_with_flavor(value, size)
+        .expect("messages contain no sequences of unknown length")
 }
 
-/// A frame without its length prefix.
+/// Encodes a value as the body of a frame, without the length prefix.
 pub fn encode_body<T: Serialize>(value: &T) -> Vec<u8> {
-    let plain = postcard::to_stdvec(value).expect("messages hold no maps of unknown length");
-    if plain.len() >= COMPRESS_FROM {
+    let plain =
+        postcard::to_stdvec(value).expect("messages contain no sequences of unknown length");
+    if plain.len() >= MIN_COMPRESSED_BYTES {
         let compressed = zstd::bulk::compress(&plain, COMPRESSION_LEVEL);
         if let Ok(mut compressed) = compressed {
-            compressed.insert(0, COMPRESSED);
+            compressed.insert(0, COMPRESSED_TAG);
             return compressed;
         }
     }
     let mut body = Vec::with_capacity(plain.len() + 1);
-    body.push(PLAIN);
+    body.push(UNCOMPRESSED_TAG);
     body.extend_from_slice(&plain);
     body
 }
 
-/// A frame with its length prefix, ready to be written.
+/// Encodes a value as a complete frame, including the length prefix.
 pub fn encode_frame<T: Serialize>(value: &T) -> Vec<u8> {
     let body = encode_body(value);
     let mut frame = Vec::with_capacity(body.len() + LENGTH_PREFIX_BYTES);
@@ -67,7 +72,7 @@
     frame
 }
 
-/// Length of the body behind a prefix, if it is within the limit.
+/// Decodes a length prefix. Rejects lengths above [`MAX_FRAME_BYTES`].
 pub fn frame_length(prefix: [u8; LENGTH_PREFIX_BYTES]) -> Result<usize, CodecError> {
     let size = u32::from_le_bytes(prefix) as usize;
     if size > MAX_FRAME_BYTES {
@@ -77,41 +82,41 @@
     }
 }
 
-/// Reads a frame's body.
+/// Decodes the body of a frame.
 pub fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, CodecError> {
-    let Some((form, rest)) = body.split_first() else {
+    let Some((tag, payload)) = body.split_first() else {
         return Err(CodecError::Malformed {
-            message: "it is empty".into(),
+            message: "the body is empty".into(),
         });
     };
-    match *form {
-        PLAIN => decode_plain(rest),
-        COMPRESSED => {
-            let size = plain_size(rest)?;
+    match *tag {
+        UNCOMPRESSED_TAG => decode_plain(payload),
+        COMPRESSED_TAG => {
+            let size = decompressed_size(payload)?;
             let plain =
-                zstd::bulk::decompress(rest, size).map_err(|error| CodecError::Malformed {
+                zstd::bulk::decompress(payload, size).map_err(|error| CodecError::Malformed {
                     message: error.to_string(),
                 })?;
             decode_plain(&plain)
         }
         other => Err(CodecError::Malformed {
-            message: format!("form {other} is unknown"),
+            message: format!("unknown compression tag {other}"),
         }),
     }
 }
 
-/// Size that a compressed frame grows to, as its own head says.
+/// Returns the decompressed size that a compressed body declares in its Zstandard header.
 ///
-/// A frame that grows further than it says fails to decompress, so what is taken for it is bounded
-/// by its own claim and by the limit.
-fn plain_size(compressed: &[u8]) -> Result<usize, CodecError> {
+/// Decompression fails if the data turns out larger than declared, so the memory that is allocated
+/// is bounded by the declared size and by [`MAX_FRAME_BYTES`].
+fn decompressed_size(compressed: &[u8]) -> Result<usize, CodecError> {
     match zstd::zstd_safe::get_frame_content_size(compressed) {
         Ok(Some(size)) if size <= MAX_FRAME_BYTES as u64 => Ok(size as usize),
         Ok(Some(size)) => Err(CodecError::TooLarge {
             size: size as usize,
         }),
         _ => Err(CodecError::Malformed {
-            message: "a compressed frame does not say its size".into(),
+            message: "a compressed frame does not declare its size".into(),
         }),
     }
 }
@@ -128,15 +133,15 @@
     }
 }
 
-/// A value as text for a header.
+/// Encodes a value as the text of an HTTP header.
 pub fn encode_header<T: Serialize>(value: &T) -> String {
-    let bytes = postcard::to_stdvec(value).expect("headers hold no maps of unknown length");
-    HEADER_TEXT.encode(bytes)
+    let bytes = postcard::to_stdvec(value).expect("headers contain no sequences of unknown length");
+    HEADER_ENCODING.encode(bytes)
 }
 
-/// Reads a header's text.
+/// Decodes the text of an HTTP header.
 pub fn decode_header<T: DeserializeOwned>(text: &str) -> Result<T, CodecError> {
-    let bytes = HEADER_TEXT
+    let bytes = HEADER_ENCODING
         .decode(text)
         .map_err(|error| CodecError::Malformed {
             message: error.to_string(),
--- a/crates/wire/src/dissemination.rs
+++ b/crates/wire/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! The catalogue's way from the control group to every node.
+//! Distribution of the catalogue from the control group to every node, over a relay tree.
 
 use std::net::SocketAddr;
 
@@ -8,16 +8,16 @@
 
 use crate::{codec, membership};
 
-/// A whole catalogue, encoded and compressed once for all that it is sent to.
+/// A complete catalogue, encoded and compressed once for all of its receivers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedCatalogue {
-    /// Its version.
+    /// Version of the catalogue.
     pub version: ids::CatalogueVersion,
     body: Vec<u8>,
 }
 
 impl PackedCatalogue {
-    /// Packs a catalogue.
+    /// Encodes and compresses a catalogue.
     pub fn pack(catalogue: &state::CatalogueState) -> Self {
         Self {
             version: catalogue.version,
@@ -25,98 +25,102 @@
         }
     }
 
-    /// The catalogue; its digest is still to be checked.
+    /// Decodes the catalogue. Does not verify its digest.
     pub fn unpack(&self) -> Result<state::CatalogueState, codec::CodecError> {
         codec::decode_body(&self.body)
     }
 }
 
-/// What a whole subtree of the relay tree has in force.
+/// Versions in force in a subtree of the relay tree.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubtreeReport {
-    /// Every node of the subtree has this version or a later one in force.
+    /// A version that every node of the subtree has reached: this one or a later one is in force.
     pub floor: ids::CatalogueVersion,
-    /// Exclusive or of the short digests of the nodes' names.
+    /// Short digests of the names of the subtree's nodes, combined by exclusive or.
     pub fingerprint: membership::ShortDigest,
-    /// Short digests of the nodes' names; sent when they changed or are asked for.
+    /// Short digests of the names of the subtree's nodes. Sent only when they have changed or on
+    /// request.
     pub roster: Option<Vec<membership::ShortDigest>>,
 }
 
-/// What a node tells its parent.
+/// Report of a node to its parent.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChildReport {
-    /// What it has in force itself.
+    /// Version in force at the node itself.
     pub held: membership::VersionSummary,
-    /// What its subtree has in force, itself included.
+    /// Versions in force in the node's subtree, which includes the node.
     pub subtree: SubtreeReport,
 }
 
-/// What a parent tells a child.
+/// Status of a parent, sent to its children.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ParentStatus {
-    /// What it has in force.
+    /// Version in force at the parent.
     pub held: membership::VersionSummary,
-    /// Processes from a control down to the parent, as four bytes of their names' digests; empty
-    /// while the parent itself has no way to a control.
+    /// Path from a control down to the parent, as digests of the processes' names truncated to four
+    /// bytes; empty while the parent has no path to a control.
     pub path: Vec<u32>,
-    /// Whether the child is to send its roster.
+    /// Whether the child should send its roster.
     pub wants_roster: bool,
 }
 
-/// A question for the part after a version.
+/// Request for the changes after a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionPull {
-    /// Version that the sender holds.
+    /// Version in force at the sender.
     pub version: ids::CatalogueVersion,
-    /// Whether only a whole catalogue helps.
+    /// Whether the sender needs a snapshot instead of a delta.
     pub wants_snapshot: bool,
 }
 
-/// How sure an answer to [`DisseminationMessage::FloorQuestion`] is.
+/// Source of a [`FloorAnswer`], which determines how far it can be relied on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FloorProof {
-    /// A control that a majority has just confirmed.
+    /// A control whose state a majority of the control group has just confirmed.
     Majority,
-    /// A control that cannot show a majority.
+    /// A control without confirmation by a majority.
     Control,
-    /// A node that holds a version.
+    /// A node that has a version in force.
     Peer,
-    /// A node that is itself asking.
+    /// A node that is itself still asking for the latest version.
     Asking,
 }
 
-/// What a process knows of the latest version.
+/// Latest version known to a process, as input to the version floor of another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FloorAnswer {
-    /// Latest version that it knows.
+    /// Latest version known.
     pub version: ids::CatalogueVersion,
-    /// How sure that is.
+    /// Source of the answer.
     pub proof: FloorProof,
 }
 
 /// Messages of dissemination.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum DisseminationMessage {
-    /// A child's keepalive to its parent; the first one asks to be adopted.
+    /// Keepalive of a child to its parent. The first one requests a place in the tree.
     Keepalive(ChildReport),
-    /// A child's report that its subtree has reached a version.
+    /// Report of a child that its subtree has a new version in force.
     Ack(ChildReport),
-    /// A parent's answer to a keepalive.
+    /// Reply of a parent to a keepalive.
     Parent(ParentStatus),
-    /// No place here; the addresses may have one.
+    /// Reply to a keepalive if the receiver accepts no more children. Lists addresses of possible
+    /// parents.
     Redirect(Vec<SocketAddr>),
-    /// The changes after the receiver's version.
+    /// Changes after the receiver's version.
     Delta(delta::CatalogueDelta),
-    /// A whole catalogue.
+    /// A complete catalogue.
     Snapshot(PackedCatalogue),
-    /// A question for a delta or a snapshot.
+    /// Request for a delta or a snapshot.
     Pull(VersionPull),
-    /// A process without memory asks how old the latest version is at least.
+    /// Query of a process without durable state for the version floor: the lowest version that it
+    /// may accept.
     FloorQuestion,
-    /// The answer to it.
+    /// Reply to [`DisseminationMessage::FloorQuestion`].
     FloorAnswer(FloorAnswer),
-    /// What the nodes behind one control have in force, for the other controls.
+    /// Versions in force at the nodes below one control, sent to the other controls.
     Tally(SubtreeReport),
-    /// The last tally had no roster, and the one held does not fit it.
+    /// Request for a tally with roster, since the roster known to the sender does not match the
+    /// fingerprint of the last tally.
     RosterWanted,
 }
--- a/crates/wire/src/document.rs
+++ b/crates/wire/src/document.rs
@@ -1,47 +1,48 @@
-//! Documents of operators, packed against the revision before.
+//! Compression of operators' documents against the previous revision.
 //!
-//! An operator sends its whole document with every change, mostly the same text as before. Packed
-//! with the previous one as dictionary it goes through the log as little more than what differs.
+//! An operator sends its whole document with every change, and most of the text is unchanged.
+//! Compressed with the previous document as dictionary, it takes little more space in the
+//! replicated log than the difference between the two.
 
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Compression level: the fastest of those that find long matches in the dictionary.
-const LEVEL: i32 = 3;
-/// Largest document, in bytes.
+/// Zstandard level: the fastest one that finds long matches in the dictionary.
+const COMPRESSION_LEVEL: i32 = 3;
+/// Maximum size of a document, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
 
-/// Why a packed document cannot be read.
+/// Reason why a packed document cannot be read.
 #[derive(Debug, Snafu)]
 pub enum DocumentError {
-    /// It is damaged, or was packed against another document.
-    #[snafu(display("the document does not fit the one before it: {source}"))]
+    /// The data is corrupt, or was compressed with another dictionary.
+    #[snafu(display("cannot decompress the document against the previous revision: {source}"))]
     Unpack {
-        /// Why.
+        /// The decompression error.
         source: std::io::Error,
     },
-    /// It does not say its size, or says one above the bound.
+    /// The frame header has no content size, or one above the limit.
     #[snafu(display("the document's size is missing or above {MAX_DOCUMENT_BYTES} bytes"))]
-    Sizeless,
-    /// It is no text.
-    #[snafu(display("the document is no text"))]
-    NoText,
+    InvalidSize,
+    /// The decompressed bytes are not UTF-8.
+    #[snafu(display("the document is not valid UTF-8"))]
+    NotUtf8,
 }
 
-/// Packs a document against the one before it.
+/// Compresses a document with the previous one as dictionary.
 pub fn pack(document: &str, previous: &str) -> Vec<u8> {
-    let packed = zstd::bulk::Compressor::with_dictionary(LEVEL, previous.as_bytes())
+    let packed = zstd::bulk::Compressor::with_dictionary(COMPRESSION_LEVEL, previous.as_bytes())
         .and_then(|mut compressor| compressor.compress(document.as_bytes()));
-    packed.expect("memory holds the document twice")
+    packed.expect("compression into memory succeeds")
 }
 
-/// Unpacks what [`pack`] made against the same document.
+/// Reverses [`pack`], given the same previous document.
 pub fn unpack(packed: &[u8], previous: &str) -> Result<String, DocumentError> {
     let size = zstd::zstd_safe::get_frame_content_size(packed);
-    let size = size.ok().flatten().context(SizelessSnafu)?;
+    let size = size.ok().flatten().context(InvalidSizeSnafu)?;
     let size = usize::try_from(size).unwrap_or(usize::MAX);
-    snafu::ensure!(size <= MAX_DOCUMENT_BYTES, SizelessSnafu);
+    snafu::ensure!(size <= MAX_DOCUMENT_BYTES, InvalidSizeSnafu);
     let bytes = zstd::bulk::Decompressor::with_dictionary(previous.as_bytes())
         .and_then(|mut decompressor| decompressor.decompress(packed, size))
         .context(UnpackSnafu)?;
-    String::from_utf8(bytes).ok().context(NoTextSnafu)
+    String::from_utf8(bytes).ok().context(NotUtf8Snafu)
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,8 +1,8 @@
-//! How two processes prove the group key to each other before anything else is said.
+//! Mutual authentication of two processes by the shared group key when a link is opened.
 //!
-//! Both sides send a fresh nonce, and each answers with a keyed hash over both nonces and its own
-//! role. Neither proof can be replayed, and neither side reads a message before it holds the
-//! other's proof.
+//! Both sides send a fresh nonce, and each proves the key by a keyed hash over both nonces and its
+//! own side of the connection. A proof cannot be replayed on another connection or reflected to its
+//! sender, and neither side reads messages before it has verified the other's proof.
 
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
@@ -10,63 +10,63 @@
 
 use crate::membership;
 
-/// Version of the handshake and of the messages behind it.
+/// Version of the handshake and of the messages that follow it.
 pub const WIRE_VERSION: u16 = 3;
-/// Largest frame of the handshake, in bytes.
+/// Maximum size of a handshake frame, in bytes.
 pub const MAX_HANDSHAKE_FRAME_BYTES: usize = 4096;
 
-/// What a connection is for.
+/// Purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LinkPurpose {
-    /// Framed messages, from the side that connected to the other.
+    /// Framed messages, from the initiator to the responder.
     Messages,
-    /// Calls as HTTP/2, from the side that connected to the other.
+    /// Calls over HTTP/2, from the initiator to the responder.
     Calls,
-    /// Questions and answers as JSON-RPC.
+    /// Requests and responses over JSON-RPC.
     Questions,
 }
 
-/// First frame, from the side that connected.
+/// First frame, from the initiator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkHello {
     /// [`WIRE_VERSION`] of the sender.
     pub version: u16,
-    /// What the connection is for.
+    /// Purpose of the connection.
     pub purpose: LinkPurpose,
-    /// Who connects.
+    /// Identity of the initiator.
     pub identity: membership::PeerIdentity,
-    /// Fresh random bytes.
+    /// Random bytes, drawn anew for each connection.
     pub nonce: [u8; 16],
 }
 
-/// Second frame, from the side that was connected to.
+/// Second frame, from the responder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkChallenge {
-    /// Who answers.
+    /// Identity of the responder.
     pub identity: membership::PeerIdentity,
-    /// Fresh random bytes.
+    /// Random bytes, drawn anew for each connection.
     pub nonce: [u8; 16],
-    /// Proof of the side that was connected to.
+    /// Proof of the responder.
     pub proof: [u8; 32],
 }
 
-/// Third frame, from the side that connected.
+/// Third frame, from the initiator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkProof {
-    /// Proof of the side that connected.
+    /// Proof of the initiator.
     pub proof: [u8; 32],
 }
 
-/// Which side a proof is from.
+/// Side of a connection that a proof comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkSide {
-    /// The side that connected.
+    /// The process that opened the connection.
     Initiator,
-    /// The side that was connected to.
+    /// The process that accepted the connection.
     Responder,
 }
 
-/// The shared key of the group; never printed.
+/// The shared key of the group. Its debug output hides the key.
 #[derive(Clone)]
 pub struct GroupKey(Vec<u8>);
 
@@ -77,18 +77,18 @@
 }
 
 impl GroupKey {
-    /// A key of these bytes.
+    /// Creates a key from its bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         Self(bytes)
     }
 
-    /// The proof of one side over both greetings.
+    /// Computes the proof of one side over the hello and the responder's identity and nonce.
     pub fn compute_proof(
         &self,
         side: LinkSide,
         hello: &LinkHello,
-        listener: &membership::PeerIdentity,
-        listener_nonce: [u8; 16],
+        responder: &membership::PeerIdentity,
+        responder_nonce: [u8; 16],
     ) -> [u8; 32] {
         let mut mac =
             Hmac::<sha2::Sha256>::new_from_slice(&self.0).expect("a key of any length is accepted");
@@ -96,13 +96,13 @@
             LinkSide::Initiator => b"opener",
             LinkSide::Responder => b"listen",
         });
-        let greeting = postcard::to_stdvec(&(hello, listener, listener_nonce))
-            .expect("greetings hold no maps");
-        mac.update(&greeting);
+        let transcript = postcard::to_stdvec(&(hello, responder, responder_nonce))
+            .expect("the handshake contains no sequences of unknown length");
+        mac.update(&transcript);
         mac.finalize().into_bytes().into()
     }
 
-    /// Whether a proof is the expected one, compared in constant time.
+    /// Returns whether a proof is the expected one. The comparison takes constant time.
     pub fn verify_proof(expected: &[u8; 32], proof: &[u8; 32]) -> bool {
         expected.ct_eq(proof).into()
     }
--- a/crates/wire/src/ledger.rs
+++ b/crates/wire/src/ledger.rs
@@ -1,11 +1,14 @@
-//! Claims on keyed requests: who alone may run one, and what became of it.
+//! Claims on requests with an idempotency key.
+//!
+//! A node must hold the claim on a request before it runs it, so that the request runs at most
+//! once. Other nodes ask the holder for the result.
 
 use std::{fmt, net::SocketAddr};
 
 use hazeltiller_units::ids;
 use serde::{Deserialize, Serialize};
 
-/// Digest that stands for a request: of its key, or of its content where it has none.
+/// Digest that identifies a request: of its idempotency key, or of its content if it has none.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestDigest(pub [u8; 16]);
 
@@ -15,66 +18,66 @@
     }
 }
 
-/// One node's try to become the only one to run a request; never used twice.
+/// Identifies one attempt of a node to claim a request. Never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// Life of the node.
+    /// Incarnation of the node.
     pub incarnation: ids::IncarnationNumber,
-    /// Counts the node's claims.
+    /// Number of the claim within the incarnation.
     pub number: u64,
-    /// Peers address of the node.
+    /// Address of the node's peers listener.
     pub node: SocketAddr,
 }
 
-/// Whether claims that a control once granted can be missing from its file. Records number the cases in
-/// this order.
+/// Whether claims that a control has granted can be missing from its file. Stored records refer to
+/// the variants by their position.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimsCompleteness {
-    /// Some may be: the file was lost or damaged.
+    /// Claims can be missing, since the file was lost or damaged.
     #[default]
     Lost,
-    /// None can be.
+    /// No claims can be missing.
     Whole,
-    /// The file was made together with its folder. Whether the folder was ever there before, only the
-    /// control group knows.
+    /// The file was created together with its data folder. Only the control group knows whether
+    /// this replica has had an earlier folder.
     Unproven,
 }
 
-/// One record of a control's file of claims.
+/// A record of a control's claims file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimRecord {
-    /// What can be missing before this record.
+    /// Whether claims can be missing before this record.
     Standing(ClaimsCompleteness),
-    /// A claim is kept.
+    /// A claim was granted.
     Kept(RequestDigest, ClaimId),
-    /// The request of a claim ran.
+    /// The request of a claim was run.
     Done(RequestDigest, ClaimId),
-    /// A claim is forgotten.
+    /// A claim was released.
     Released(RequestDigest, ClaimId),
 }
 
-/// A claim as a control keeps it.
+/// A claim as a control stores it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredClaim {
-    /// Whose it is.
+    /// The claim.
     pub claim: ClaimId,
-    /// Whether its request is known to have run.
+    /// Whether the request is known to have run.
     pub is_done: bool,
 }
 
-/// A target's answer as it is kept for resends.
+/// A target's response, stored so that it can be replayed when the request is resent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Header lines.
+    /// Header names and values.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
 impl StoredAnswer {
-    /// Bytes that it takes.
+    /// Returns the size of headers and body in bytes.
     pub fn size(&self) -> usize {
         let headers = self.headers.iter();
         let lines: usize = headers.map(|(name, value)| name.len() + value.len()).sum();
@@ -82,86 +85,87 @@
     }
 }
 
-/// What the node that holds a claim says of it.
+/// State of a claimed request, as the holder of the claim reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// The request runs, or is about to.
+    /// The request is running or about to run.
     Running,
-    /// Nothing of it was sent under this claim, and nothing will be.
+    /// The request has not been sent to a target under this claim and will not be.
     NeverRan,
-    /// It ran; the answer if it is still kept.
+    /// The request ran. Holds the response if it is still stored.
     Finished(Option<StoredAnswer>),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Messages about claims. A control keeps claims; the node that holds one knows what became of it.
+/// Messages about claims. Controls store claims; the holder of a claim knows the result of its
+/// request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerMessage {
-    /// Node to control: keep this claim, unless another one is kept.
+    /// Node to control: requests a claim, which is granted unless another one is stored.
     Claim {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
-        /// Whose claim.
+        /// The claim.
         claim: ClaimId,
-        /// Digest of the controls that the node counts.
+        /// Digest of the set of controls among which the node counts a majority.
         voters: u64,
     },
-    /// Control to node: the claim is kept and synced.
+    /// Control to node: the claim is stored and synced to disk.
     Granted {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
-        /// Whose claim.
+        /// The claim.
         claim: ClaimId,
     },
-    /// Control to node: another claim is kept.
+    /// Control to node: another claim on the request is stored.
     Held {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
-        /// The claim that asked.
+        /// The claim that was requested.
         claim: ClaimId,
-        /// The claim that is kept.
+        /// The claim that is stored.
         holder: ClaimId,
-        /// Whether its request is known to have run.
+        /// Whether the request is known to have run.
         is_done: bool,
     },
-    /// Control to node: it keeps no claims now.
+    /// Control to node: the control does not accept claims at present.
     Declined {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
-        /// The claim that asked.
+        /// The claim that was requested.
         claim: ClaimId,
     },
-    /// Node to control: nothing ran under the claim and nothing will; forget it.
+    /// Node to control: releases a claim under which nothing ran or will run.
     Release {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
-        /// Whose claim.
+        /// The claim.
         claim: ClaimId,
     },
-    /// Node to control: the request ran.
+    /// Node to control: the claimed request has run.
     Done {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
-        /// Whose claim.
+        /// The claim.
         claim: ClaimId,
     },
-    /// Node to the node that holds a claim: what became of it?
+    /// Node to the holder of a claim: asks for the state of the request.
     Ask {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
         /// The claim.
         holder: ClaimId,
-        /// The call at the asking node.
+        /// Id of the waiting call at the asking node.
         call: ids::CallId,
     },
-    /// Answer to [`LedgerMessage::Ask`], again when the claim's request has ended.
+    /// Reply to [`LedgerMessage::Ask`]. Sent again when the claimed request has ended.
     Told {
         /// The claim.
         holder: ClaimId,
-        /// The call at the asking node.
+        /// Id of the waiting call at the asking node.
         call: ids::CallId,
-        /// What became of it.
+        /// State of the request.
         state: ClaimState,
     },
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the system's own processes say to each other, and how it becomes bytes.
+//! Messages between the processes of the system, and their encoding.
 //!
-//! Messages are data only: whoever sends or takes one decides in `hazeltiller-engine`. Each
-//! submodule of the reducer has its message type in the file of the same name here.
+//! Messages are plain data; the logic that sends and handles them is in `hazeltiller-engine`. The
+//! message type of each submodule of the reducer is in the file of the same name here.
 
 pub mod calls;
 pub mod codec;
--- a/crates/wire/src/membership.rs
+++ b/crates/wire/src/membership.rs
@@ -1,84 +1,86 @@
-//! Members of the fleet and the targets that they own.
+//! Gossip about the members of the fleet and the targets that they own.
 //!
-//! Each node is the only author of its own record; a larger `(incarnation, sequence)` replaces a
-//! smaller one, so copies may cross and repeat.
+//! Each process alone writes its own record. A record with a larger `(incarnation, sequence)`
+//! replaces one with a smaller, so that records may arrive out of order and more than once.
 
 use std::net::SocketAddr;
 
 use hazeltiller_units::ids;
 use serde::{Deserialize, Serialize};
 
-/// Who a process is and where its peers listener is reached.
+/// Identity, addresses and roles of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PeerIdentity {
-    /// Its name.
+    /// Name of the instance.
     pub instance: ids::InstanceName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: ids::DataCentreName,
-    /// Its region.
+    /// Region of the data centre.
     pub region: ids::RegionName,
-    /// Address that its peers listener is reached at.
+    /// Address of the peers listener.
     pub address: SocketAddr,
-    /// Address that its operators listener is reached at, where it is told.
+    /// Address of the operators listener, if it is published.
     pub operators: Option<SocketAddr>,
-    /// Whether it has the control role.
+    /// Whether the process has the control role.
     pub is_control: bool,
-    /// Whether it has the node role.
+    /// Whether the process has the node role.
     pub is_node: bool,
-    /// Larger after each restart.
+    /// Number that increases with each restart of the process.
     pub incarnation: ids::IncarnationNumber,
 }
 
-/// What a target says of itself.
+/// State that a target reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// Starting: takes no work yet.
+    /// Starting; does not accept requests yet.
     Warming,
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Finishes what runs and takes no new work.
+    /// Completes running requests and accepts no new ones.
     Draining,
 }
 
-/// A target as its node publishes it.
+/// A target as its owner node publishes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecord {
-    /// Its name.
+    /// Name of the target.
     pub name: ids::TargetName,
-    /// Its service.
+    /// Service that the target belongs to.
     pub service: ids::EntryName,
-    /// Where it listens; only its own node connects to it.
+    /// Address that the target listens on. Only its owner node connects to it.
     pub address: SocketAddr,
-    /// Requests that it runs at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Connections that it takes.
+    /// Number of connections that the target accepts.
     pub connections: u32,
-    /// What it says of itself.
+    /// State that the target reports.
     pub state: TargetState,
-    /// Its life under this name, larger after each restart; zero where targets do not tell.
+    /// Number that increases with each restart of the target under this name; zero if targets do
+    /// not report one.
     pub incarnation: ids::IncarnationNumber,
-    /// Version of its software; absent where targets do not tell.
+    /// Version of the target's software; absent if targets do not report one.
     pub version: Option<ids::SoftwareVersion>,
 }
 
-/// A member as it publishes itself.
+/// A member as it publishes itself to the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Who it is.
+    /// Identity of the member.
     pub identity: PeerIdentity,
-    /// Grows with each change of the record within one incarnation.
+    /// Number that increases with each change of the record within an incarnation.
     pub sequence: u64,
-    /// Whether it has said that it leaves.
+    /// Whether the member has announced that it leaves.
     pub has_left: bool,
-    /// Its targets.
+    /// Targets that the member owns.
     pub targets: Vec<TargetRecord>,
 }
 
-/// Short digest of a name, a table or a version, for comparing; combined by exclusive or, so that
-/// a table's changes with each record.
+/// Short digest of a name, a record table or a catalogue version.
 ///
-/// It finds differences between honest processes; what is taken is proven by the whole digest.
+/// Digests are combined by exclusive or, so that the digest of a table can be updated with each
+/// record. A short digest is only good for detecting differences between processes that trust each
+/// other; a received catalogue is verified against its full digest.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -103,91 +105,91 @@
     }
 }
 
-/// What a process holds of the catalogue, in short.
+/// Version and short digest of the catalogue that a process has in force.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionSummary {
     /// Version in force.
     pub version: ids::CatalogueVersion,
-    /// First bytes of its digest.
+    /// First bytes of the catalogue's digest.
     pub digest: ShortDigest,
 }
 
-/// A record that its author has not been heard to renew.
+/// Suspicion that a member is unreachable, since its record has not been renewed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSuspicion {
-    /// The member.
+    /// The suspected member.
     pub instance: ids::InstanceName,
     /// Incarnation of the record.
     pub incarnation: ids::IncarnationNumber,
-    /// Sequence of the record; a larger one refutes the suspicion.
+    /// Sequence of the record. A record with a larger sequence refutes the suspicion.
     pub sequence: u64,
 }
 
-/// Time since anything was heard from a data centre, directly or through others.
+/// Time since a data centre was last heard from, directly or through other members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DataCentreAge {
-    /// Short digest of the data centre's name, cut to four bytes.
+    /// Short digest of the data centre's name, truncated to four bytes.
     pub centre: u32,
-    /// The time, in milliseconds.
+    /// Time since the last message, in milliseconds.
     pub age_ms: u32,
 }
 
-/// One message of gossip: bounded, whatever the size of the fleet.
+/// A gossip message. Its size is bounded independently of the size of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// Digest of the sender's table.
+    /// Digest of the sender's record table.
     pub table: ShortDigest,
-    /// What the sender holds of the catalogue.
+    /// Catalogue version that the sender has in force.
     pub held: VersionSummary,
-    /// When data centres were last heard from.
+    /// Times since the data centres were last heard from.
     pub ages: Vec<DataCentreAge>,
-    /// Records that are news at the sender.
+    /// Records that the sender has recently received or changed.
     pub records: Vec<MemberRecord>,
-    /// Suspicions that are news at the sender.
+    /// Suspicions that the sender has recently received or raised.
     pub suspicions: Vec<MemberSuspicion>,
 }
 
-/// Version of a record, for comparing tables.
+/// Version of a record, used to compare record tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordVersion {
     /// Short digest of the member's name.
     pub member: ShortDigest,
-    /// Its incarnation.
+    /// Incarnation of the record.
     pub incarnation: ids::IncarnationNumber,
-    /// Its sequence.
+    /// Sequence of the record.
     pub sequence: u64,
 }
 
-/// Versions of all records in some buckets of a table.
+/// Versions of all records in some buckets of a record table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionPage {
-    /// The buckets.
+    /// Indices of the buckets.
     pub buckets: Vec<u8>,
-    /// The records in them.
+    /// Versions of the records in these buckets.
     pub versions: Vec<RecordVersion>,
-    /// Whether other buckets differ too.
+    /// Whether more buckets differ than the page covers.
     pub has_more: bool,
 }
 
 /// Messages of membership.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum MembershipMessage {
-    /// Gossip that is answered, so that the sender knows the receiver to be alive.
+    /// Gossip that the receiver acknowledges, which proves to the sender that it is alive.
     Probe(GossipMessage),
-    /// The answer to a probe.
+    /// Reply to [`MembershipMessage::Probe`].
     Alive(GossipMessage),
-    /// Gossip that is not answered.
+    /// Gossip that is not acknowledged.
     Rumour(GossipMessage),
-    /// A process without members asks for some.
+    /// Request for members, from a process that knows none.
     Join(MemberRecord),
-    /// Peers addresses of members that know more.
+    /// Addresses of the peers listeners of members that know more of the fleet.
     Introduction(Vec<SocketAddr>),
-    /// Digests of the buckets of the sender's table, which differs from the receiver's.
+    /// Digests of the buckets of the sender's record table, sent when the tables differ.
     Buckets(Vec<ShortDigest>),
-    /// Versions of the records in buckets that differ.
+    /// Versions of the records in differing buckets.
     Versions(VersionPage),
-    /// Members whose records the sender wants.
+    /// Digests of the names of members whose records the sender requests.
     Wanted(Vec<ShortDigest>),
-    /// Records that the receiver lacks.
+    /// Records that the receiver lacks or has in an older version.
     Records(Vec<MemberRecord>),
 }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,5 @@
-//! The message between two processes: one variant a submodule of the reducer.
+//! The message type of links between processes, with one variant per submodule of the reducer, and
+//! the hybrid logical clock that each message carries.
 
 use hazeltiller_units::time;
 use serde::{Deserialize, Serialize};
@@ -8,43 +9,43 @@
 /// A message between processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Of the control group's log.
+    /// Replication of the control group's log.
     Replication(replication::ReplicationMessage),
-    /// Of the catalogue's way to the nodes.
+    /// Distribution of the catalogue to the nodes.
     Dissemination(dissemination::DisseminationMessage),
-    /// Of members and targets.
+    /// Gossip about members and targets.
     Membership(membership::MembershipMessage),
-    /// Of claims on keyed requests.
+    /// Claims on requests with an idempotency key.
     Ledger(ledger::LedgerMessage),
-    /// Of requests that crash targets.
+    /// Requests suspected of crashing targets.
     Quarantine(quarantine::QuarantineMessage),
-    /// Of roll-outs.
+    /// Results of runs during roll-outs.
     Rollout(rollout::RolloutMessage),
 }
 
-/// What control bytes are spent on.
+/// Category under which control traffic is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum TrafficCategory {
-    /// Changes on their way to nodes.
+    /// Catalogue changes sent to nodes.
     Delta,
-    /// Whole catalogues on their way to nodes.
+    /// Complete catalogues sent to nodes.
     Snapshot,
-    /// Keeping the relay tree together.
+    /// Maintenance of the relay tree.
     Keepalive,
-    /// Reports of what is in force.
+    /// Reports of the versions in force.
     Ack,
-    /// Members and targets.
+    /// Gossip about members and targets.
     Gossip,
-    /// The replicated log.
+    /// Replication of the control group's log.
     Replication,
-    /// Claims on keyed requests, and requests that crash targets.
+    /// Claims on requests with an idempotency key, and requests suspected of crashing targets.
     Claims,
-    /// Evidence for and against new versions of targets.
+    /// Results of runs during roll-outs.
     Rollout,
 }
 
 impl TrafficCategory {
-    /// Every reason, in the order of its number.
+    /// All categories, in declaration order.
     pub const ALL: [Self; 8] = [
         Self::Delta,
         Self::Snapshot,
@@ -56,7 +57,7 @@
         Self::Rollout,
     ];
 
-    /// The word in status and metrics.
+    /// Returns the name used in status documents and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Delta => "delta",
@@ -72,7 +73,7 @@
 }
 
 impl PeerMessage {
-    /// What its bytes are spent on.
+    /// Returns the category under which the message's bytes are counted.
     pub fn category(&self) -> TrafficCategory {
         match self {
             Self::Replication(_) => TrafficCategory::Replication,
@@ -90,32 +91,32 @@
     }
 }
 
-/// A message with the sender's clock, as it travels.
+/// A message with the sender's clock, as it is sent over a link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerFrame {
-    /// Hybrid logical time of the sending.
+    /// Hybrid logical time at which the message was sent.
     pub clock: HybridTime,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// Hybrid logical time: wall time that never goes back and is ordered by cause.
+/// Hybrid logical time: close to wall time, never decreasing, and consistent with causality.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct HybridTime {
-    /// Largest wall time seen.
+    /// Largest wall time observed so far, locally or in a message.
     pub wall: time::WallTime,
-    /// Counts events of one wall time.
+    /// Orders events with the same wall time.
     pub count: u32,
 }
 
-/// Furthest that another process's clock may lead this machine's; beyond it is not taken in, so
-/// that one wrong clock does not set every other one.
-const LARGEST_LEAD_MS: u64 = 60_000;
+/// Maximum lead of a received time over the local wall clock, in milliseconds. Times further ahead
+/// are ignored, so that one wrong clock does not move the clocks of all other processes.
+const MAX_CLOCK_LEAD_MS: u64 = 60_000;
 
 impl HybridTime {
-    /// The time of a local event.
+    /// Returns the time of a local event.
     #[must_use]
     pub fn tick(self, wall: time::WallTime) -> Self {
         if wall > self.wall {
@@ -125,15 +126,19 @@
         }
     }
 
-    /// The time of taking a message that was sent at `sent`.
+    /// Returns the time of receiving a message that was sent at `sent`.
     #[must_use]
     pub fn merge(self, sent: Self, wall: time::WallTime) -> Self {
-        let is_wrong = sent.wall.0 > wall.0.saturating_add(LARGEST_LEAD_MS);
-        let latest = if is_wrong { self } else { self.max(sent) };
+        let is_too_far_ahead = sent.wall.0 > wall.0.saturating_add(MAX_CLOCK_LEAD_MS);
+        let latest = if is_too_far_ahead {
+            self
+        } else {
+            self.max(sent)
+        };
         latest.tick(wall)
     }
 
-    /// The least time after this one.
+    /// Returns the smallest time after this one.
     fn next(self) -> Self {
         match self.count.checked_add(1) {
             Some(count) => Self { count, ..self },
--- a/crates/wire/src/quarantine.rs
+++ b/crates/wire/src/quarantine.rs
@@ -1,11 +1,11 @@
-//! Requests that were in flight when a target crashed.
+//! Reports of requests that were in flight when a target crashed.
 
 use hazeltiller_units::ids;
 use serde::{Deserialize, Serialize};
 
 use crate::ledger;
 
-/// A request that a crash of a target is blamed on, among others that were in flight.
+/// A crash of a target attributed to one of the requests that were in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// The request.
@@ -14,9 +14,9 @@
     pub target: ids::TargetName,
 }
 
-/// What the owner node of a crashed target tells every other node.
+/// Message from the owner node of a crashed target to all other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineMessage {
-    /// Crashes that are new.
+    /// Crashes that have not been reported yet.
     pub crashes: Vec<CrashRecord>,
 }
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -1,7 +1,7 @@
-//! The replicated log's entries and messages.
+//! Entries of the replicated log and messages between the replicas of the control group.
 //!
-//! A replica is named by an id that lives in its data folder. Addresses only say where to send: a
-//! message that is meant for another replica than the one that now stands at an address is dropped.
+//! A replica is identified by an id that is stored in its data folder. Addresses only serve for
+//! sending: a replica drops messages that are addressed to another replica id.
 
 use std::net::SocketAddr;
 
@@ -9,88 +9,89 @@
 use hazeltiller_units::{ids, time};
 use serde::{Deserialize, Serialize};
 
-/// A change in the log.
+/// A catalogue change in the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoggedChange {
-    /// The operator's id of it.
+    /// Id that the operator gave the change.
     pub change_id: ids::ChangeId,
-    /// Digest of the change's content; tells a resend from a reuse of the id.
+    /// Digest of the change's content, which distinguishes a resend from a reuse of the id.
     pub content: ids::StateDigest,
-    /// When the leader took it, in milliseconds since 1970.
+    /// Time at which the leader accepted the change, in milliseconds since the Unix epoch.
     pub accepted_at_ms: u64,
-    /// Who asked for it; absent: the administrator.
+    /// Operator that requested the change; absent for the administrator.
     pub operator: Option<ids::OperatorName>,
-    /// What it puts and removes.
+    /// Entries that the change puts and removes.
     pub set: change::ChangeSet,
-    /// The revision that it makes, where it replaced the whole catalogue.
+    /// The new revision, if the change replaces the whole catalogue.
     pub revision: Option<LoggedRevision>,
 }
 
-/// A revision in the log.
+/// A catalogue revision in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoggedRevision {
-    /// Its label.
+    /// Label of the revision.
     pub label: ids::RevisionLabel,
-    /// The operator's document, packed against the one before it (see [`crate::document`]).
+    /// The operator's document, compressed against the previous one (see [`crate::document`]).
     pub document: Vec<u8>,
 }
 
-/// A replica that votes.
+/// A voting member of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMember {
-    /// Its durable state.
+    /// Id of the replica.
     pub replica: ids::ReplicaId,
-    /// Name of its instance.
+    /// Name of the replica's instance.
     pub instance: ids::InstanceName,
-    /// Where its peers listener is reached.
+    /// Address of the replica's peers listener.
     pub address: SocketAddr,
 }
 
 /// The voters of a control group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlGroup {
-    /// Which group.
+    /// Id of the group.
     pub id: ids::GroupId,
-    /// Its voters.
+    /// Voters of the group.
     pub voters: Vec<GroupMember>,
 }
 
 impl ControlGroup {
-    /// Whether a replica votes.
+    /// Returns whether a replica is a voter.
     pub fn has_voter(&self, replica: ids::ReplicaId) -> bool {
         self.voters.iter().any(|voter| voter.replica == replica)
     }
 
-    /// Voters that a decision needs.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 }
 
-/// What an entry of the log says.
+/// Payload of a log entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogPayload {
-    /// A new leader's first entry.
+    /// The first entry of a new leader's term, without effect on the catalogue.
     Empty,
-    /// A change of the catalogue.
+    /// A catalogue change.
     Change(LoggedChange),
-    /// The voters from this entry on; they count from when it is written, not committed.
+    /// The voters from this entry on. They take effect when the entry is appended, before it is
+    /// committed.
     Group(ControlGroup),
 }
 
 /// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its position.
+    /// Position of the entry.
     pub position: ids::LogPosition,
-    /// Term of the leader that wrote it.
+    /// Term of the leader that appended the entry.
     pub term: ids::LeaderTerm,
-    /// What it says.
+    /// Payload of the entry.
     pub payload: LogPayload,
 }
 
 impl LogEntry {
-    /// Its place in the log.
+    /// Returns term and position of the entry.
     pub fn mark(&self) -> LogMark {
         LogMark {
             term: self.term,
@@ -99,143 +100,146 @@
     }
 }
 
-/// A place in the log. The later of two logs' ends has the larger mark.
+/// Term and position of a log entry. Of two logs, the one whose last entry has the larger mark is
+/// more up to date.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct LogMark {
     /// Term of the entry.
     pub term: ids::LeaderTerm,
-    /// Its position.
+    /// Position of the entry.
     pub position: ids::LogPosition,
 }
 
-/// What a replica must never forget beside its log.
+/// State that a replica must persist in addition to its log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Which replica this folder is.
+    /// Id of the replica to which the data folder belongs.
     pub replica: ids::ReplicaId,
-    /// Whether it was started to found a group that does not exist yet.
+    /// Whether the replica was started to form a group that does not exist yet.
     pub is_forming: bool,
-    /// Latest term that it has seen.
+    /// Latest term that the replica has seen.
     pub term: ids::LeaderTerm,
-    /// Whom it voted for in that term.
+    /// Replica that it voted for in this term.
     pub vote: Option<ids::ReplicaId>,
-    /// A position that is known to be committed; may lag behind.
+    /// A position known to be committed. May be lower than the group's commit position.
     pub commit: ids::LogPosition,
 }
 
-/// An accepted change as it is remembered for resends.
+/// An accepted change, stored so that a resend of it can be answered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// The first answer.
+    /// The receipt returned for the first send.
     pub receipt: change::ChangeReceipt,
     /// Digest of the change's content.
     pub content: ids::StateDigest,
-    /// Who asked for it; absent: the administrator.
+    /// Operator that requested the change; absent for the administrator.
     pub operator: Option<ids::OperatorName>,
 }
 
-/// Everything that the log up to a place led to.
+/// State that results from the log up to an entry.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogSnapshot {
-    /// The last entry that it covers.
+    /// The last entry that the snapshot covers.
     pub mark: LogMark,
-    /// The voters at that place.
+    /// The voters at that entry.
     pub group: ControlGroup,
-    /// The catalogue at that place.
+    /// The catalogue at that entry.
     pub catalogue: state::CatalogueState,
-    /// Changes that are remembered for resends, oldest first.
+    /// Accepted changes that are stored to answer resends, oldest first.
     pub accepted: Vec<AcceptedChange>,
-    /// The revision in place.
+    /// The current revision.
     pub revision: change::CatalogueRevision,
 }
 
-/// Where a replica stands.
+/// Status of a replica with respect to the control group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaStatus {
-    /// Waits for the first group to be founded.
+    /// Waits for the first group to be formed.
     Forming,
-    /// Has no vote.
+    /// Receives the log but does not vote.
     Learner,
-    /// Has a vote.
+    /// Votes in elections and on commits.
     Voter,
 }
 
-/// What a replica says of itself to those that it cannot know yet.
+/// Information that a replica sends about itself to control addresses at which it does not yet
+/// know the replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIntroduction {
-    /// Where it stands.
+    /// Status of the sender.
     pub standing: ReplicaStatus,
-    /// The control addresses of its settings, in order.
+    /// The control addresses from the sender's settings, in order.
     pub control: Vec<SocketAddr>,
-    /// The voters that it knows of.
+    /// Voters known to the sender.
     pub voters: Vec<ids::ReplicaId>,
-    /// Peers address of the leader that it follows, or its own while it leads.
+    /// Address of the peers listener of the leader; the sender's own while it is the leader.
     pub leader: Option<SocketAddr>,
-    /// Whether the other side is to introduce itself too.
+    /// Whether the receiver should reply with an introduction of its own.
     pub asks: bool,
 }
 
-/// Entries that follow a place in the log; a heartbeat when there are none.
+/// Entries to append after a given entry of the log; a heartbeat if there are none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AppendRequest {
-    /// The place before the first entry.
+    /// Term and position of the entry that precedes the new ones.
     pub previous: LogMark,
-    /// The entries.
+    /// Entries to append.
     pub entries: Vec<LogEntry>,
-    /// Position up to which the leader has committed.
+    /// Commit position of the leader.
     pub commit: ids::LogPosition,
-    /// Whether the leader has just heard a majority.
+    /// Whether the leader has recently heard from a majority of voters.
     pub is_proven: bool,
-    /// The leader's clock; comes back in the answer.
+    /// Time of sending by the leader's clock; returned in the reply.
     pub sent: time::MonotonicTime,
-    /// The receiver's clock as the leader last heard it: this was sent after that, so a request
-    /// that was held up on the way does not pass for a fresh one.
+    /// Latest time of the receiver's clock that the leader has received. The request was sent after
+    /// that time, so that a request delayed in transit is not mistaken for a recent one.
     pub echo: time::MonotonicTime,
 }
 
-/// The answer to [`AppendRequest`] and to a snapshot.
+/// Reply to an [`AppendRequest`] or a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendAnswer {
-    /// Whether the place before the entries was held.
+    /// Whether the receiver's log contained the entry that precedes the new ones.
     pub is_accepted: bool,
-    /// Kept up to here when accepted; otherwise where to try next.
+    /// Last position stored, if accepted; otherwise the position from which to retry.
     pub position: ids::LogPosition,
-    /// The clock of the request.
+    /// Time of sending of the request, by the leader's clock.
     pub sent: time::MonotonicTime,
-    /// The sender's clock.
+    /// Time of the reply by its sender's clock.
     pub at: time::MonotonicTime,
 }
 
-/// What a replica says.
+/// Body of a message between replicas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ReplicationBody {
-    /// Who it is.
+    /// Introduction of the sender.
     Introduce(ReplicaIntroduction),
-    /// Would you vote for me? The message's term is the one it would stand in.
+    /// Asks whether the receiver would vote for the sender in the message's term. Holds the last
+    /// entry of the sender's log.
     PreVote(LogMark),
-    /// The answer to that; binds nobody.
+    /// Reply to [`ReplicationBody::PreVote`]. Not binding.
     PreVoted {
-        /// Yes or no.
+        /// Whether the vote is granted.
         is_granted: bool,
     },
-    /// Vote for me; the end of my log is given.
+    /// Requests a vote for the sender. Holds the last entry of the sender's log.
     Vote(LogMark),
-    /// The answer to that.
+    /// Reply to [`ReplicationBody::Vote`].
     Voted {
-        /// Yes or no.
+        /// Whether the vote is granted.
         is_granted: bool,
     },
-    /// Entries, or a sign of life.
+    /// Entries to append, or a heartbeat.
     Append(AppendRequest),
-    /// The answer to that and to a snapshot.
+    /// Reply to [`ReplicationBody::Append`] and [`ReplicationBody::Install`].
     Appended(AppendAnswer),
-    /// All that the log led to, for a replica whose next entry is no longer kept.
+    /// A snapshot for a replica whose next entry has been compacted away.
     Install {
         /// The snapshot.
         snapshot: Box<LogSnapshot>,
-        /// The leader's clock; comes back in the answer.
+        /// Time of sending by the leader's clock; returned in the reply.
         sent: time::MonotonicTime,
     },
 }
@@ -243,14 +247,15 @@
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReplicationMessage {
-    /// The sender's group; 0 while it knows none.
+    /// Group of the sender; 0 if it knows none.
     pub group: ids::GroupId,
-    /// Who says it.
+    /// Replica that sent the message.
     pub from: ids::ReplicaId,
-    /// Whom it is meant for; absent: whoever stands at the address.
+    /// Replica that the message is addressed to; absent if any replica at the address may handle
+    /// it.
     pub to: Option<ids::ReplicaId>,
-    /// The sender's term.
+    /// Term of the sender.
     pub term: ids::LeaderTerm,
-    /// What it says.
+    /// Body of the message.
     pub body: ReplicationBody,
 }
--- a/crates/wire/src/rollout.rs
+++ b/crates/wire/src/rollout.rs
@@ -1,45 +1,45 @@
-//! What nodes tell the control group of runs while a roll-out goes on.
+//! Results of runs that nodes report to the control group during a roll-out.
 //!
-//! Counts grow from the beginning of the roll-out, so that a lost or repeated message does no harm
-//! and a new leader has the whole evidence with the next one.
+//! Counts are cumulative since the start of the roll-out, so that lost or repeated messages do no
+//! harm and a new leader has the complete counts after the next message.
 
 use hazeltiller_units::ids;
 use serde::{Deserialize, Serialize};
 
-/// Classes of run times that are told apart; each begins at the square root of two times the
-/// beginning of the one before.
+/// Number of buckets of the histogram of run durations. The lower bound of each bucket is that of
+/// the previous one times the square root of two.
 pub const LATENCY_BUCKETS: usize = 20;
-/// Time that the second class begins at, in milliseconds.
-const SECOND_CLASS_MS: f64 = 4.0;
-/// Classes over which times double.
+/// Lower bound of the second bucket, in milliseconds. The first bucket starts at zero.
+const SECOND_BUCKET_MS: f64 = 4.0;
+/// Number of buckets over which the bound doubles.
 pub const BUCKETS_PER_DOUBLING: usize = 2;
 
-/// The class of a run's time.
-pub fn latency_bucket(took: std::time::Duration) -> usize {
-    let ratio = took.as_secs_f64() * 1e3 / SECOND_CLASS_MS;
-    let above = ratio.log2() * BUCKETS_PER_DOUBLING as f64;
-    // The cast takes what is below the second class, also a time of zero, for zero.
-    ((above.floor() + 1.0) as usize).min(LATENCY_BUCKETS - 1)
+/// Returns the index of the bucket for a run duration.
+pub fn latency_bucket(duration: std::time::Duration) -> usize {
+    let ratio = duration.as_secs_f64() * 1e3 / SECOND_BUCKET_MS;
+    let buckets_above = ratio.log2() * BUCKETS_PER_DOUBLING as f64;
+    // The cast saturates at zero for durations below the second bucket, including zero.
+    ((buckets_above.floor() + 1.0) as usize).min(LATENCY_BUCKETS - 1)
 }
 
-/// Runs of one route at one target.
+/// Results of the runs of one route at one target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTally {
     /// The route.
     pub route: ids::EntryName,
-    /// Runs that ended with an answer of the target.
+    /// Runs that ended with a response of the target.
     pub answered: u32,
-    /// Those of them that failed.
+    /// Answered runs whose response counts as a failure.
     pub failed: u32,
-    /// Answered runs by class of their time.
+    /// Histogram of the durations of answered runs, by [`latency_bucket`].
     pub times: Vec<u32>,
-    /// Runs that were given up unanswered, by class of the time that they had had; empty where
-    /// there are none.
+    /// Histogram of the durations of runs that were abandoned without a response; empty if there
+    /// are none.
     pub given_up: Vec<u32>,
 }
 
 impl RouteTally {
-    /// A tally of no runs.
+    /// Creates a tally without runs.
     pub fn new(route: ids::EntryName) -> Self {
         Self {
             route,
@@ -51,32 +51,32 @@
     }
 }
 
-/// Runs of one target since its node learnt of the roll-out.
+/// Results of the runs of one target since its owner node learnt of the roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetTally {
     /// Service of the target.
     pub service: ids::EntryName,
-    /// Order of the roll-out.
+    /// Catalogue version that the roll-out order created, which identifies the roll-out.
     pub order: ids::CatalogueVersion,
     /// The target.
     pub target: ids::TargetName,
-    /// Version of its software.
+    /// Version of the target's software, if known.
     pub version: Option<ids::SoftwareVersion>,
-    /// Life of its node, and the number of the message within it.
+    /// Incarnation of the owner node, and the number of the message within the incarnation.
     pub stamp: (ids::IncarnationNumber, u64),
-    /// Calls that run or wait at it now.
+    /// Calls currently running or waiting at the target.
     pub in_flight: u32,
-    /// Whether its node holds it unhealthy, so that calls are kept away from it.
+    /// Whether the owner node considers the target unhealthy, so that calls are routed elsewhere.
     pub is_failing: bool,
-    /// By route.
+    /// Results by route.
     pub routes: Vec<RouteTally>,
 }
 
 /// A message about roll-outs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutMessage {
-    /// Tallies of the sender's targets, or of those of a node that it passes them on for.
+    /// Tallies of the sender's targets, or of the targets of a node whose message is forwarded.
     pub tallies: Vec<TargetTally>,
-    /// Whether a control passed them on to the leader.
+    /// Whether a control forwarded the message to the leader.
     pub is_passed_on: bool,
 }
--- a/crates/wire/tests/clock.rs
+++ b/crates/wire/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The hybrid clock: causes before consequences, whatever the machines' clocks say.
+//! The hybrid logical clock stays consistent with causality even if the wall clocks disagree.
 
 use hazeltiller_units::time;
 use hazeltiller_wire::message;
@@ -13,14 +13,14 @@
 #[test]
 fn merge_table() {
     let table = [
-        // own, sent, wall, expected
+        // own time, received time, wall clock, expected
         (at(5, 3), at(4, 9), 5, at(5, 4)),
         (at(5, 3), at(7, 9), 6, at(7, 10)),
         (at(5, 3), at(7, 9), 8, at(8, 0)),
-        // A clock that leads by more than a minute is not taken in.
+        // A received time that is more than a minute ahead is ignored.
         (at(5, 3), at(60_007, 0), 6, at(6, 0)),
         (at(5, 3), at(u64::MAX, u32::MAX), 5, at(5, 4)),
-        // A count at its end goes on in the wall time, and neither panics nor goes back.
+        // A counter at its maximum carries over into the wall time instead of overflowing.
         (at(5, 3), at(7, u32::MAX), 6, at(8, 0)),
     ];
     for (own, sent, wall, expected) in table {
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -1,5 +1,5 @@
-//! Every decoder of bytes that come from another process: it never panics, what it takes goes
-//! round, and small input never asks for much memory.
+//! Decoders of bytes received from other processes never panic, decoded values survive a round
+//! trip, and small inputs cause no large allocations.
 
 use std::{
     alloc::{GlobalAlloc, Layout, System},
@@ -21,48 +21,51 @@
 
 const SEED: u64 = 7;
 const CASES: u32 = 2000;
-const LONGEST_INPUT: usize = 512;
-/// What a decoder may ask for at once for a small frame: serde's own bound on trusted lengths.
-const SMALL_ALLOCATION: usize = 2 << 20;
+const MAX_INPUT_BYTES: usize = 512;
+/// Maximum size of one allocation while a small frame is decoded, in bytes. Serde itself
+/// preallocates up to a fixed limit for the lengths that the input declares.
+const MAX_SMALL_ALLOCATION_BYTES: usize = 2 << 20;
 
-/// Notes the largest block that a thread asks for.
-struct NotingAllocator;
+/// Records the largest allocation of each thread.
+struct RecordingAllocator;
 
 thread_local! {
     static LARGEST: Cell<usize> = const { Cell::new(0) };
 }
 
-// SAFETY: every call goes on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for NotingAllocator {
+// SAFETY: every call is forwarded unchanged to the system allocator.
+unsafe impl GlobalAlloc for RecordingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        // A thread that ends notes nothing more.
+        // The thread-local value is gone while a thread terminates; nothing is recorded then.
         let _: Result<(), _> =
             LARGEST.try_with(|largest| largest.set(largest.get().max(layout.size())));
-        // SAFETY: the caller keeps the contract of this very function.
+        // SAFETY: the caller upholds the contract of `GlobalAlloc::alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        // SAFETY: the block came from `alloc` above, so from the system's allocator.
+        // SAFETY: the block was allocated by `alloc` above, hence by the system allocator.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: NotingAllocator = NotingAllocator;
+static ALLOCATOR: RecordingAllocator = RecordingAllocator;
 
-fn largest_in<T>(work: impl FnOnce() -> T) -> (T, usize) {
+/// Runs a function and returns its result and its largest allocation in bytes.
+fn measure_largest<T>(function: impl FnOnce() -> T) -> (T, usize) {
     LARGEST.set(0);
-    let done = work();
-    (done, LARGEST.get())
+    let result = function();
+    (result, LARGEST.get())
 }
 
-/// What a decoder may ask for at once: a compressed frame may claim up to the limit.
+/// Returns the maximum size of one allocation in bytes. A compressed frame may declare any size up
+/// to the frame limit.
 fn allocation_bound(bytes: &[u8]) -> usize {
     if bytes.first() == Some(&1) {
         codec::MAX_FRAME_BYTES
     } else {
-        SMALL_ALLOCATION
+        MAX_SMALL_ALLOCATION_BYTES
     }
 }
 
@@ -75,53 +78,55 @@
     })
 }
 
-/// Decodes bytes; what is taken must go round.
-fn try_body<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> bool {
+/// Returns whether bytes can be decoded, and checks that the value survives a round trip.
+fn round_trip_body<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> bool {
     let Ok(value) = codec::decode_body::<T>(bytes) else {
         return false;
     };
-    let again = codec::encode_body(&value);
-    let back: T = codec::decode_body(&again).expect("what was encoded can be decoded");
-    assert_eq!(codec::encode_body(&back), again);
+    let encoded = codec::encode_body(&value);
+    let decoded: T = codec::decode_body(&encoded).expect("an encoded value can be decoded");
+    assert_eq!(codec::encode_body(&decoded), encoded);
     true
 }
 
-fn try_header<T: Serialize + DeserializeOwned>(text: &str) -> bool {
+fn round_trip_header<T: Serialize + DeserializeOwned>(text: &str) -> bool {
     let Ok(value) = codec::decode_header::<T>(text) else {
         return false;
     };
-    let again = codec::encode_header(&value);
-    let back: T = codec::decode_header(&again).expect("what was encoded can be decoded");
-    assert_eq!(codec::encode_header(&back), again);
+    let encoded = codec::encode_header(&value);
+    let decoded: T = codec::decode_header(&encoded).expect("an encoded value can be decoded");
+    assert_eq!(codec::encode_header(&decoded), encoded);
     true
 }
 
-fn try_every_body(bytes: &[u8]) -> usize {
-    let taken = [
-        try_body::<message::PeerFrame>(bytes),
-        try_body::<handshake::LinkHello>(bytes),
-        try_body::<handshake::LinkChallenge>(bytes),
-        try_body::<handshake::LinkProof>(bytes),
-        try_body::<wire_replication::LogSnapshot>(bytes),
+/// Returns how many of the message types the bytes can be decoded as.
+fn count_body_types(bytes: &[u8]) -> usize {
+    let decoded = [
+        round_trip_body::<message::PeerFrame>(bytes),
+        round_trip_body::<handshake::LinkHello>(bytes),
+        round_trip_body::<handshake::LinkChallenge>(bytes),
+        round_trip_body::<handshake::LinkProof>(bytes),
+        round_trip_body::<wire_replication::LogSnapshot>(bytes),
     ];
-    taken.iter().filter(|is_taken| **is_taken).count()
+    decoded.iter().filter(|is_decoded| **is_decoded).count()
 }
 
-fn try_every_header(text: &str) -> usize {
-    let taken = [
-        try_header::<calls::CallOffer>(text),
-        try_header::<calls::CallRefusal>(text),
-        try_header::<calls::LoadReport>(text),
-        try_header::<message::HybridTime>(text),
+/// Returns how many of the header types the text can be decoded as.
+fn count_header_types(text: &str) -> usize {
+    let decoded = [
+        round_trip_header::<calls::CallOffer>(text),
+        round_trip_header::<calls::CallRefusal>(text),
+        round_trip_header::<calls::LoadReport>(text),
+        round_trip_header::<message::HybridTime>(text),
     ];
-    taken.iter().filter(|is_taken| **is_taken).count()
+    decoded.iter().filter(|is_decoded| **is_decoded).count()
 }
 
 fn name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("it is a name")
+    text.parse().expect("the name is valid")
 }
 
 fn identity() -> membership::PeerIdentity {
@@ -145,15 +150,15 @@
         {"kind": "service", "name": "registru", "owner": "registru", "class": "counter"},
         {"kind": "route", "name": "issue", "owner": "registru", "class": "counter",
          "service": "registru", "match": {"path_prefix": "/certificates"}}]}"#;
-    serde_json::from_str(text).expect("it is a change")
+    serde_json::from_str(text).expect("the change can be parsed")
 }
 
-/// A frame of each kind that carries most.
+/// Returns frames of the message kinds that carry the most data.
 fn frames() -> Vec<message::PeerFrame> {
     let set = change_set();
     let term = ids::LeaderTerm(3);
     let state = state::CatalogueState::default();
-    let state = state.apply(&set, term).expect("the change is sound");
+    let state = state.apply(&set, term).expect("the change is valid");
     let record = membership::MemberRecord {
         identity: identity(),
         sequence: 9,
@@ -195,47 +200,48 @@
         "class": "counter", "cost": 5, "deadline_left_ms": 5000, "first_byte_ms": 2000,
         "attempt": 1, "is_idempotent": false, "key": null, "latency_left_ms": 600, "patience_ms": 20,
     }))
-    .unwrap_or_else(|error| panic!("the sample lacks a field of the offer: {error}"));
+    .unwrap_or_else(|error| panic!("the sample offer cannot be parsed: {error}"));
     offer.key = Some("key-1".into());
     offer
 }
 
 #[test]
 fn arbitrary_bytes() {
-    let bytes = collection::vec(any::<u8>(), 0..LONGEST_INPUT);
-    let plain = bytes.prop_map(|mut bytes| {
-        // Most arbitrary first bytes are refused at once; a plain frame reads on.
+    let bytes = collection::vec(any::<u8>(), 0..MAX_INPUT_BYTES);
+    let tagged = bytes.prop_map(|mut bytes| {
+        // Most values of the first byte are rejected at once; small ones often reach the decoder.
         if let Some(first) = bytes.first_mut() {
             *first %= 4;
         }
         bytes
     });
-    let tried = runner().run(&plain, |bytes| {
-        let (_taken, largest) = largest_in(|| try_every_body(&bytes));
+    let outcome = runner().run(&tagged, |bytes| {
+        let (_decoded, largest) = measure_largest(|| count_body_types(&bytes));
         let bound = allocation_bound(&bytes);
-        assert!(largest <= bound, "{largest} bytes at once");
+        assert!(largest <= bound, "one allocation of {largest} bytes");
         Ok(())
     });
-    tried.expect("no case fails");
+    outcome.expect("no case fails");
 }
 
 #[test]
 fn arbitrary_headers() {
-    let text =
-        prop::string::string_regex("([0-9A-Za-z_-]{2}|[+gé ]){0,64}").expect("it is a pattern");
-    let tried = runner().run(&text, |text| {
-        try_every_header(&text);
+    let text = prop::string::string_regex("([0-9A-Za-z_-]{2}|[+gé ]){0,64}")
+        .expect("the pattern is valid");
+    let outcome = runner().run(&text, |text| {
+        count_header_types(&text);
         Ok(())
     });
-    tried.expect("no case fails");
-    codec::decode_header::<calls::LoadReport>("+1+1+1+1+1").expect_err("a sign is no digit");
+    outcome.expect("no case fails");
+    codec::decode_header::<calls::LoadReport>("+1+1+1+1+1")
+        .expect_err("a plus sign is not URL-safe base64");
 }
 
 #[test]
 fn damaged_frames() {
     let bodies: Vec<Vec<u8>> = frames().iter().map(codec::encode_body).collect();
     for body in &bodies {
-        assert_eq!(try_every_body(body), 1, "an undamaged frame is taken");
+        assert_eq!(count_body_types(body), 1, "an intact frame can be decoded");
     }
     let damage = (
         0..bodies.len(),
@@ -243,17 +249,17 @@
         any::<u8>(),
         any::<prop::sample::Index>(),
     );
-    let tried = runner().run(&damage, |(body, at, byte, cut)| {
+    let outcome = runner().run(&damage, |(body, at, byte, cut)| {
         let mut bytes = bodies[body].clone();
         let at = at.index(bytes.len());
         bytes[at] = byte;
         bytes.truncate(cut.index(bytes.len()) + 1);
-        let (_taken, largest) = largest_in(|| try_every_body(&bytes));
+        let (_decoded, largest) = measure_largest(|| count_body_types(&bytes));
         let bound = allocation_bound(&bytes);
-        assert!(largest <= bound, "{largest} bytes at once");
+        assert!(largest <= bound, "one allocation of {largest} bytes");
         Ok(())
     });
-    tried.expect("no case fails");
+    outcome.expect("no case fails");
 }
 
 #[test]
@@ -273,41 +279,50 @@
         codec::encode_header(&refusal),
     ];
     for text in &texts {
-        assert!(try_every_header(text) >= 1, "an undamaged header is taken");
+        assert!(
+            count_header_types(text) >= 1,
+            "an intact header can be decoded"
+        );
     }
     let damage = (
         0..texts.len(),
         any::<prop::sample::Index>(),
         prop::char::range(' ', '~'),
     );
-    let tried = runner().run(&damage, |(text, at, character)| {
+    let outcome = runner().run(&damage, |(text, at, character)| {
         let mut damaged: Vec<char> = texts[text].chars().collect();
         let at = at.index(damaged.len());
         damaged[at] = character;
-        try_every_header(&damaged.into_iter().collect::<String>());
+        count_header_types(&damaged.into_iter().collect::<String>());
         Ok(())
     });
-    tried.expect("no case fails");
+    outcome.expect("no case fails");
 }
 
 #[test]
 fn compressed_bombs() {
     let zeros = vec![0; 4 * codec::MAX_FRAME_BYTES];
-    let mut bomb = zstd::bulk::compress(&zeros, 1).expect("memory takes it");
+    let mut bomb = zstd::bulk::compress(&zeros, 1).expect("compression into memory succeeds");
     bomb.insert(0, 1);
     drop(zeros);
-    let (taken, largest) = largest_in(|| codec::decode_body::<message::PeerFrame>(&bomb));
-    taken.expect_err("it is over the limit");
-    assert!(largest <= codec::MAX_FRAME_BYTES, "{largest} bytes at once");
+    let (decoded, largest) = measure_largest(|| codec::decode_body::<message::PeerFrame>(&bomb));
+    decoded.expect_err("the declared size is over the limit");
+    assert!(
+        largest <= codec::MAX_FRAME_BYTES,
+        "one allocation of {largest} bytes"
+    );
     assert_eq!(
         codec::frame_length([255; codec::LENGTH_PREFIX_BYTES]),
         Err(codec::CodecError::TooLarge {
             size: u32::MAX as usize
         })
     );
-    // A frame of a few hundred bytes must not take the memory of the largest one.
+    // Decoding a frame of a few hundred bytes must not allocate memory for the largest one.
     let small = codec::encode_body(&frames()[2]);
-    assert_eq!(small[0], 1, "it is compressed");
-    let (_taken, largest) = largest_in(|| try_body::<message::PeerFrame>(&small));
-    assert!(largest <= SMALL_ALLOCATION, "{largest} bytes at once");
+    assert_eq!(small[0], 1, "the frame is compressed");
+    let (_decoded, largest) = measure_largest(|| round_trip_body::<message::PeerFrame>(&small));
+    assert!(
+        largest <= MAX_SMALL_ALLOCATION_BYTES,
+        "one allocation of {largest} bytes"
+    );
 }
--- a/crates/wire/tests/offers.rs
+++ b/crates/wire/tests/offers.rs
@@ -1,4 +1,4 @@
-//! The two parts of an offer.
+//! Splitting of an offer into terms, which repeat for a route, and the part of one attempt.
 
 use hazeltiller_wire::{calls, codec, ledger};
 
@@ -23,14 +23,20 @@
     assert_eq!(calls::CallOffer::join(terms, attempt), whole);
 }
 
-/// What repeats for a route is one text, which header compression sends once; the rest is less than a
-/// third of what the whole offer takes as one header of hexadecimal.
+/// The terms of all calls of a route are encoded identically, so that header compression sends them
+/// once. The rest takes less than a third of the whole offer in hexadecimal.
 #[test]
 fn terms_repeat() {
-    let (one, attempt) = offer("registru-1", 5000).split();
-    let (other, _) = offer("registru-2", 1200).split();
-    assert_eq!(codec::encode_header(&one), codec::encode_header(&other));
-    let bytes = codec::encode_header(&attempt).len();
-    let whole = codec::encoded_size(&offer("registru-1", 5000)) * 2;
-    assert!(bytes * 3 < whole, "{bytes} of {whole} bytes for each call");
+    let (terms, attempt) = offer("registru-1", 5000).split();
+    let (other_terms, _) = offer("registru-2", 1200).split();
+    assert_eq!(
+        codec::encode_header(&terms),
+        codec::encode_header(&other_terms)
+    );
+    let attempt_bytes = codec::encode_header(&attempt).len();
+    let hex_bytes = codec::encoded_size(&offer("registru-1", 5000)) * 2;
+    assert!(
+        attempt_bytes * 3 < hex_bytes,
+        "{attempt_bytes} of {hex_bytes} bytes for each call"
+    );
 }
