--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -1,17 +1,17 @@
-//! One change of the catalogue: accepted whole or refused whole.
+//! Changes of the catalogue. A change is either accepted or refused as a whole.
 
 use hazeltiller_units::{code, ids};
 use serde::{Deserialize, Serialize};
 
 use crate::{entry, rollout};
 
-/// What a change puts and removes; removals are done first.
+/// Entries that a change puts and removes. Removals are applied first.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ChangeSet {
-    /// Entries that are added, or that replace the one of the same key.
+    /// Entries to add, or to replace the entry with the same key.
     pub put: Vec<entry::CatalogueEntry>,
-    /// Keys of entries that are removed.
+    /// Keys of the entries to remove.
     pub remove: Vec<entry::EntryKey>,
 }
 
@@ -19,9 +19,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// Id that makes a resend known for one.
+    /// Id by which a resend of the change is recognised.
     pub change_id: ids::ChangeId,
-    /// Version that the operator decided on; another current one refuses the change.
+    /// Version on which the change is based. The change is refused if another version is current.
     pub expects: ids::CatalogueVersion,
     /// Entries to put.
     #[serde(default)]
@@ -29,43 +29,47 @@
     /// Entries to remove.
     #[serde(default)]
     pub remove: Vec<entry::EntryKey>,
-    /// Makes the entries put the whole catalogue; then `expects` does not count.
+    /// If present, the entries to put replace the whole catalogue and `expects` is ignored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replace: Option<ReplacementMark>,
-    /// Starts or ends a roll-out; then nothing is put or removed and `expects` does not count.
+    /// If present, the request starts or aborts a roll-out, puts and removes nothing, and `expects`
+    /// is ignored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollout: Option<rollout::RolloutRequest>,
 }
 
-/// Marks a change that replaces the whole catalogue by one document of the operator's.
+/// Data of a change that replaces the whole catalogue by an operator's document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplacementMark {
-    /// The operator's label of the new revision.
+    /// Label that the operator gives the new revision.
     pub label: ids::RevisionLabel,
-    /// Label of the revision that it builds on; another one in place refuses the change.
+    /// Label of the revision on which the replacement is based. The change is refused if another
+    /// revision is current.
     pub base: ids::RevisionLabel,
-    /// The operator's document, given back as it is to whoever reads the revision.
+    /// The operator's document, returned unchanged to readers of the revision.
     pub document: String,
 }
 
-/// A revision in place: what the last replacement left.
+/// The current revision, set by the last replacement of the whole catalogue.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueRevision {
-    /// Its label.
+    /// Label of the revision.
     pub label: ids::RevisionLabel,
     /// The operator's document.
     pub document: String,
 }
 
 impl ChangeRequest {
-    /// A replacement whose id stands for its content, so that the same document sent again is
-    /// known for one.
+    /// Creates a replacement of the whole catalogue. Its id is derived from its content, so that a
+    /// resend of the same document is recognised.
     pub fn replacing(mark: ReplacementMark, put: Vec<entry::CatalogueEntry>) -> Self {
         let digest = mark_digest(&mark).to_string();
         let id = format!("revision-{}-{}", mark.label, &digest[..32]);
         Self {
-            change_id: id.parse().expect("digits and hyphens make an id"),
+            change_id: id
+                .parse()
+                .expect("an id may consist of letters, digits and hyphens"),
             expects: ids::CatalogueVersion::default(),
             put,
             remove: Vec::new(),
@@ -74,7 +78,7 @@
         }
     }
 
-    /// A request about a service's roll-out.
+    /// Creates a request that starts or aborts a roll-out.
     pub fn rollout(change_id: ids::ChangeId, request: rollout::RolloutRequest) -> Self {
         Self {
             change_id,
@@ -86,17 +90,19 @@
         }
     }
 
-    /// An order whose id stands for its content, so that the same order sent again is known for
-    /// one.
+    /// Creates a request that starts a roll-out. Its id is derived from its content, so that a
+    /// resend of the same order is recognised.
     pub fn rollout_order(order: rollout::RolloutOrder) -> Self {
         let request = rollout::RolloutRequest::Start(order);
         let digest = rollout_digest(&request).to_string();
         let id = format!("rollout-{}", &digest[..32]);
-        let id = id.parse().expect("digits and hyphens make an id");
+        let id = id
+            .parse()
+            .expect("an id may consist of letters, digits and hyphens");
         Self::rollout(id, request)
     }
 
-    /// What it puts and removes.
+    /// Returns the entries that the request puts and removes.
     pub fn into_set(self) -> ChangeSet {
         ChangeSet {
             put: self.put,
@@ -105,31 +111,33 @@
     }
 }
 
-/// One fault of a change.
+/// A reason for which a change is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueFault {
-    /// Its code, of the 2000s.
+    /// Result code, from the range 2000 to 2999.
     pub code: code::ResultCode,
-    /// The entry at fault, if it is one's.
+    /// The invalid entry, if the fault concerns a single entry.
     pub entry: Option<entry::EntryKey>,
-    /// The field at fault; empty where it is the whole entry.
+    /// The invalid field; empty if the fault concerns the whole entry.
     pub field: String,
-    /// What is wrong and what is allowed.
+    /// Description of the fault and of the values that are allowed.
     pub message: String,
 }
 
-/// The answer to an accepted change.
+/// Response to an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeReceipt {
-    /// Version that the change made.
+    /// Version that the change created.
     pub version: ids::CatalogueVersion,
-    /// The change's id.
+    /// Id of the change.
     pub change_id: ids::ChangeId,
-    /// When the leader took it, in milliseconds since 1970 by its clock.
+    /// Time at which the leader accepted the change, in milliseconds since the Unix epoch by the
+    /// leader's clock.
     pub accepted_at_ms: u64,
 }
 
-/// Digest of what a request asks for, without its id: tells a resend from a reuse of the id.
+/// Returns the digest of a request without its id, which distinguishes a resend from a reuse of the
+/// id.
 pub fn content_digest(request: &ChangeRequest) -> ids::StateDigest {
     if let Some(mark) = &request.replace {
         return mark_digest(mark);
@@ -138,18 +146,19 @@
         return rollout_digest(rollout);
     }
     let content = (request.expects, &request.put, &request.remove);
-    let text = serde_json::to_vec(&content).expect("entries have only text keys");
+    let text = serde_json::to_vec(&content).expect("entries only contain maps with string keys");
     ids::StateDigest(*blake3::hash(&text).as_bytes())
 }
 
-/// Digest of what a change of the system's own puts and removes.
+/// Returns the digest of a change that the system makes itself.
 pub fn set_digest(set: &ChangeSet) -> ids::StateDigest {
-    let text = serde_json::to_vec(&(&set.put, &set.remove)).expect("entries have only text keys");
+    let text = serde_json::to_vec(&(&set.put, &set.remove))
+        .expect("entries only contain maps with string keys");
     ids::StateDigest(*blake3::hash(&text).as_bytes())
 }
 
 fn rollout_digest(request: &rollout::RolloutRequest) -> ids::StateDigest {
-    let text = serde_json::to_vec(request).expect("its fields are names and numbers");
+    let text = serde_json::to_vec(request).expect("a roll-out request contains no maps");
     ids::StateDigest(*blake3::hash(&text).as_bytes())
 }
 
@@ -161,7 +170,7 @@
     ids::StateDigest(*hasher.finalize().as_bytes())
 }
 
-/// Hash of an operator's token, as it stands in an owner's entry.
+/// Returns the hash of an operator's token, as stored in owner entries.
 pub fn token_hash(token: &str) -> ids::StateDigest {
     ids::StateDigest(*blake3::hash(token.as_bytes()).as_bytes())
 }
--- a/crates/catalogue/src/check.rs
+++ b/crates/catalogue/src/check.rs
@@ -1,4 +1,4 @@
-//! What a change must satisfy to be accepted. Every fault is reported, not only the first.
+//! Validation of changes. All faults are reported, not only the first.
 
 use hazeltiller_units::{code, ids};
 use indexmap::IndexMap;
@@ -8,10 +8,11 @@
 /// Entries by key.
 pub type EntryMap = IndexMap<entry::EntryKey, entry::CatalogueEntry>;
 
-/// Entries that stand in several places, without copies of them.
+/// Borrowed entries by key, which may come from several collections.
 pub type EntryView<'a> = IndexMap<&'a entry::EntryKey, &'a entry::CatalogueEntry>;
 
-/// Faults of the change itself, before its result is looked at.
+/// Returns the faults of a change that do not depend on its result: an empty change, removals of
+/// missing entries and keys that occur twice.
 pub fn check_set(
     state: &state::CatalogueState,
     set: &change::ChangeSet,
@@ -37,20 +38,20 @@
         }
     }
     let keys = set.put.iter().map(entry::CatalogueEntry::key);
-    faults.extend(check_twice(keys.chain(set.remove.iter().cloned())));
+    faults.extend(check_duplicates(keys.chain(set.remove.iter().cloned())));
     faults
 }
 
-/// Faults of entries that are to be the whole catalogue.
+/// Returns the faults of entries that are to replace the whole catalogue.
 pub fn check_replacement(entries: &[entry::CatalogueEntry]) -> Vec<change::CatalogueFault> {
     let keys: Vec<entry::EntryKey> = entries.iter().map(entry::CatalogueEntry::key).collect();
-    let mut faults = check_twice(keys.iter().cloned());
+    let mut faults = check_duplicates(keys.iter().cloned());
     let view: EntryView = keys.iter().zip(entries).collect();
     faults.extend(check_view(&view, &[]));
     faults
 }
 
-fn check_twice(keys: impl Iterator<Item = entry::EntryKey>) -> Vec<change::CatalogueFault> {
+fn check_duplicates(keys: impl Iterator<Item = entry::EntryKey>) -> Vec<change::CatalogueFault> {
     let mut seen = indexmap::IndexSet::new();
     let mut faults = Vec::new();
     for key in keys {
@@ -63,13 +64,15 @@
     faults
 }
 
-/// Faults of a whole catalogue: values out of range, references that lead nowhere, equal routes.
+/// Returns the faults of a complete catalogue: values out of range, dangling references, and routes
+/// that match the same requests.
 pub fn check_entries(entries: &EntryMap) -> Vec<change::CatalogueFault> {
     check_view(&entries.iter().collect(), &[])
 }
 
-/// The same for entries that are not in one map; `removed` tells a reference to what a change has
-/// just removed from one that never existed.
+/// Returns the same faults as [`check_entries`], for borrowed entries. `removed` lists the keys
+/// that the change removes, so that a reference to one of them is reported as such and not as a
+/// reference to an entry that never existed.
 pub fn check_view(entries: &EntryView, removed: &[entry::EntryKey]) -> Vec<change::CatalogueFault> {
     let mut faults = Vec::new();
     for (&key, &entry) in entries {
@@ -86,7 +89,7 @@
     entry: &entry::CatalogueEntry,
     faults: &mut Vec<change::CatalogueFault>,
 ) {
-    let mut within = |field: &str, value: u32, low: u32, high: u32| {
+    let mut check_range = |field: &str, value: u32, low: u32, high: u32| {
         if !(low..=high).contains(&value) {
             let message = format!("{value} is out of range: {low} to {high} is allowed");
             faults.push(fault(
@@ -98,10 +101,10 @@
         }
     };
     match entry {
-        entry::CatalogueEntry::Owner(owner) => within("weight", owner.weight, 1, 1000),
+        entry::CatalogueEntry::Owner(owner) => check_range("weight", owner.weight, 1, 1000),
         entry::CatalogueEntry::Class(class) => {
-            within("rank", class.rank, 1, 100);
-            within("limits.queue_ms", class.limits.queue_ms, 0, 60_000);
+            check_range("rank", class.rank, 1, 100);
+            check_range("limits.queue_ms", class.limits.queue_ms, 0, 60_000);
             if !(0.0..=1.0).contains(&class.limits.guaranteed_share) {
                 let message = "a share is from 0 to 1";
                 let field = "limits.guaranteed_share";
@@ -114,47 +117,47 @@
             }
         }
         entry::CatalogueEntry::Service(service) => {
-            within("limits.slots", service.limits.slots, 1, 65_536);
-            within("limits.connections", service.limits.connections, 1, 65_536);
-            within("limits.queue", service.limits.queue, 0, 65_536);
-            within(
+            check_range("limits.slots", service.limits.slots, 1, 65_536);
+            check_range("limits.connections", service.limits.connections, 1, 65_536);
+            check_range("limits.queue", service.limits.queue, 0, 65_536);
+            check_range(
                 "limits.first_byte_ms",
                 service.limits.first_byte_ms,
                 1,
                 600_000,
             );
-            within("slow_start_ms", service.slow_start_ms, 0, 600_000);
+            check_range("slow_start_ms", service.slow_start_ms, 0, 600_000);
             if let Some(probe) = &service.probe {
-                within("probe.period_ms", probe.period_ms, 100, 600_000);
+                check_range("probe.period_ms", probe.period_ms, 100, 600_000);
                 check_path(key, "probe.path", &probe.path, faults);
             }
         }
         entry::CatalogueEntry::Route(route) => {
-            within("limits.deadline_ms", route.limits.deadline_ms, 1, 600_000);
-            within("limits.tries", route.limits.tries, 1, 10);
+            check_range("limits.deadline_ms", route.limits.deadline_ms, 1, 600_000);
+            check_range("limits.tries", route.limits.tries, 1, 10);
             if let Some(latency) = route.target_latency_ms {
-                within("target_latency_ms", latency, 1, 600_000);
+                check_range("target_latency_ms", latency, 1, 600_000);
             }
             for part in &route.split {
-                within("split.weight", part.weight, 0, 1_000_000);
+                check_range("split.weight", part.weight, 0, 1_000_000);
             }
             for cost in &route.costs {
-                within("costs.cost", cost.cost, 1, 1000);
+                check_range("costs.cost", cost.cost, 1, 1000);
             }
             check_path(key, "match.path_prefix", &route.matches.path_prefix, faults);
             check_split(key, route, faults);
         }
         entry::CatalogueEntry::Listener(listener) => {
             let limits = &listener.limits;
-            within("limits.head_bytes", limits.head_bytes, 1024, 1_048_576);
-            within("limits.head_ms", limits.head_ms, 100, 600_000);
-            within("limits.idle_ms", limits.idle_ms, 100, 3_600_000);
+            check_range("limits.head_bytes", limits.head_bytes, 1024, 1_048_576);
+            check_range("limits.head_ms", limits.head_ms, 100, 600_000);
+            check_range("limits.idle_ms", limits.idle_ms, 100, 3_600_000);
         }
         entry::CatalogueEntry::Rollout(entry) => {
-            let (low, high) = (rollout::SHORTEST_MS, rollout::LONGEST_MS);
-            within("within_ms", entry.within_ms, low, high);
-            let whole = rollout::FULL_SHARE_PERMILLE;
-            within("share_permille", entry.share_permille, 0, whole);
+            let (low, high) = (rollout::MIN_TIME_LIMIT_MS, rollout::MAX_TIME_LIMIT_MS);
+            check_range("within_ms", entry.within_ms, low, high);
+            let full = rollout::FULL_SHARE_PERMILLE;
+            check_range("share_permille", entry.share_permille, 0, full);
         }
     }
 }
@@ -205,12 +208,12 @@
     faults: &mut Vec<change::CatalogueFault>,
 ) {
     let mut must_exist = |field: &str, kind: entry::EntryKind, name: &ids::EntryName| {
-        let wanted = entry::EntryKey {
+        let referenced = entry::EntryKey {
             kind,
             name: name.clone(),
         };
-        if !entries.contains_key(&wanted) {
-            let (code, why) = if removed.contains(&wanted) {
+        if !entries.contains_key(&referenced) {
+            let (code, reason) = if removed.contains(&referenced) {
                 (
                     code::ResultCode::ReferenceInUse,
                     "which this change removes",
@@ -218,7 +221,7 @@
             } else {
                 (code::ResultCode::ReferenceMissing, "which does not exist")
             };
-            let message = format!("{key} refers to {wanted}, {why}");
+            let message = format!("{key} refers to {referenced}, {reason}");
             faults.push(fault(code, Some(key), field, &message));
         }
     };
@@ -259,14 +262,17 @@
         .collect();
     let mut by_prefix: IndexMap<_, Vec<&entry::RouteEntry>> = IndexMap::new();
     for route in routes {
-        let place = (&route.matches.host, &route.matches.path_prefix);
-        let rivals = by_prefix.entry(place).or_default();
-        if let Some(rival) = rivals.iter().find(|rival| methods_overlap(rival, route)) {
+        let prefix = (&route.matches.host, &route.matches.path_prefix);
+        let same_prefix = by_prefix.entry(prefix).or_default();
+        if let Some(duplicate) = same_prefix
+            .iter()
+            .find(|earlier| methods_overlap(earlier, route))
+        {
             let key = entry::EntryKey {
                 kind: entry::EntryKind::Route,
                 name: route.name.clone(),
             };
-            let message = format!("route {} takes the same requests", rival.name);
+            let message = format!("route {} takes the same requests", duplicate.name);
             faults.push(fault(
                 code::ResultCode::RouteDuplicate,
                 Some(&key),
@@ -274,13 +280,17 @@
                 &message,
             ));
         }
-        rivals.push(route);
+        same_prefix.push(route);
     }
 }
 
-fn methods_overlap(one: &entry::RouteEntry, other: &entry::RouteEntry) -> bool {
-    let (ours, theirs) = (&one.matches.methods, &other.matches.methods);
-    ours.is_empty() || theirs.is_empty() || ours.iter().any(|method| theirs.contains(method))
+fn methods_overlap(left: &entry::RouteEntry, right: &entry::RouteEntry) -> bool {
+    let (left_methods, right_methods) = (&left.matches.methods, &right.matches.methods);
+    left_methods.is_empty()
+        || right_methods.is_empty()
+        || left_methods
+            .iter()
+            .any(|method| right_methods.contains(method))
 }
 
 fn fault(
--- a/crates/catalogue/src/delta.rs
+++ b/crates/catalogue/src/delta.rs
@@ -1,4 +1,4 @@
-//! The way from one version to a later one, and the proof that it led there.
+//! Deltas: the changes from one version to a later one, with the digest that verifies the result.
 
 use hazeltiller_units::ids;
 use serde::{Deserialize, Serialize};
@@ -6,64 +6,64 @@
 
 use crate::{change, state};
 
-/// One accepted change.
+/// An accepted change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DeltaStep {
-    /// Term of the leader that accepted it.
+    /// Term of the leader that accepted the change.
     pub term: ids::LeaderTerm,
-    /// What it put and removed.
+    /// Entries that the change put and removed.
     pub set: change::ChangeSet,
 }
 
 /// The changes after a base version, in order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueDelta {
-    /// Version that the first step builds on.
+    /// Version to which the first step applies.
     pub base: ids::CatalogueVersion,
-    /// The steps; the first makes the version after `base`.
+    /// Changes in order. The first one creates the version after `base`.
     pub steps: Vec<DeltaStep>,
-    /// Digest of the version that the last step makes.
+    /// Digest of the version that the last step creates.
     pub digest: ids::StateDigest,
 }
 
-/// Why a delta was not taken; the receiver's state is untouched.
+/// Reason why a delta was rejected. The receiver's state is unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum DeltaError {
-    /// It builds on another version than the receiver's.
-    #[snafu(display("the delta builds on version {base}, this is version {held}"))]
-    OtherBase {
-        /// Version that the delta builds on.
+    /// The delta is based on another version than the receiver's.
+    #[snafu(display("the delta is based on version {base}, but the receiver has version {held}"))]
+    BaseMismatch {
+        /// Version on which the delta is based.
         base: ids::CatalogueVersion,
-        /// Version that the receiver holds.
+        /// Version of the receiver.
         held: ids::CatalogueVersion,
     },
-    /// A step is not a valid change of the receiver's state.
-    #[snafu(display("a step of the delta does not fit the state it is for"))]
-    BadStep,
-    /// The result has another digest.
-    #[snafu(display("the delta led to another digest than it promises"))]
-    OtherDigest,
+    /// A step is not a valid change of the state that it applies to.
+    #[snafu(display("a step of the delta is not a valid change of its state"))]
+    InvalidStep,
+    /// The digest of the result differs from that of the delta.
+    #[snafu(display("the digest of the result differs from the digest in the delta"))]
+    DigestMismatch,
 }
 
 impl CatalogueDelta {
-    /// The state that the delta leads to from `held`.
+    /// Returns the state that results from applying the delta to `held`.
     pub fn apply(&self, held: &state::CatalogueState) -> Result<state::CatalogueState, DeltaError> {
         if self.base != held.version {
-            return Err(DeltaError::OtherBase {
+            return Err(DeltaError::BaseMismatch {
                 base: self.base,
                 held: held.version,
             });
         }
-        let mut reached = held.clone();
+        let mut updated = held.clone();
         for step in &self.steps {
-            reached = reached
+            updated = updated
                 .apply(&step.set, step.term)
-                .map_err(|_faults| DeltaError::BadStep)?;
+                .map_err(|_faults| DeltaError::InvalidStep)?;
         }
-        if reached.digest == self.digest {
-            Ok(reached)
+        if updated.digest == self.digest {
+            Ok(updated)
         } else {
-            Err(DeltaError::OtherDigest)
+            Err(DeltaError::DigestMismatch)
         }
     }
 }
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -1,7 +1,7 @@
-//! The six kinds of entries, with the defaults and ranges of their fields.
+//! The six kinds of catalogue entries, with the defaults and ranges of their fields.
 //!
-//! People read entries as JSON tagged by `kind`; between processes they travel in a compact form
-//! without field names. Both forms come from the same types.
+//! In JSON, entries are tagged by `kind`. Between processes they are sent in a compact encoding
+//! without field names. Both representations are derived from the same types.
 
 use hazeltiller_units::{ids, measure};
 use indexmap::IndexMap;
@@ -13,34 +13,34 @@
 
 pub use key::{EntryKey, EntryKind, KindError};
 
-/// Limits of an owner, over all of its calls.
+/// Limits of an owner, which apply to the total of its calls.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OwnerLimits {
-    /// Cost units a second over the whole fleet; absent: no limit.
+    /// Cost units per second over the whole fleet; absent for no limit.
     pub rate: Option<measure::CallRate>,
 }
 
-/// An owner.
+/// An owner: a party to whom calls and services belong.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OwnerEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: ids::EntryName,
-    /// The owner whose operators may change this entry; may be itself.
+    /// Owner whose operators may change this entry; may be the owner itself.
     pub owner: ids::EntryName,
-    /// Its class.
+    /// Class of the owner.
     pub class: ids::EntryName,
-    /// Share of capacity against other owners of the same class, 1 to 1000.
+    /// Weight in sharing capacity with other owners of the same class, 1 to 1000.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Its limits.
+    /// Limits that the entry sets.
     #[serde(default)]
     pub limits: OwnerLimits,
-    /// Operators that may change entries of this owner.
+    /// Operators who may change entries of this owner.
     #[serde(default)]
     pub operators: Vec<ids::OperatorName>,
-    /// Hashes of the operators' tokens (BLAKE3, hexadecimal); a token itself is never stored.
+    /// BLAKE3 hashes of the operators' tokens, in hexadecimal. The tokens are never stored.
     #[serde(default)]
     pub tokens: IndexMap<ids::OperatorName, ids::StateDigest>,
 }
@@ -49,9 +49,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClassLimits {
-    /// Part of each target's slots kept for the class when capacity is short, 0 to 1.
+    /// Share of each target's slots reserved for the class when capacity is short, 0 to 1.
     pub guaranteed_share: f64,
-    /// Longest time in a queue, in milliseconds, 0 to 60000.
+    /// Maximum time in a queue, in milliseconds, 0 to 60000.
     pub queue_ms: u32,
 }
 
@@ -64,35 +64,35 @@
     }
 }
 
-/// A class.
+/// A class: the priority and guaranteed share of its calls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: ids::EntryName,
-    /// The owner whose operators may change it.
+    /// Owner whose operators may change this entry.
     pub owner: ids::EntryName,
-    /// Its own class; may be itself.
+    /// Class of this entry; may be the class itself.
     pub class: ids::EntryName,
-    /// 1 is served first, 100 last.
+    /// Priority, from 1 (served first) to 100 (served last).
     #[serde(default = "one")]
     pub rank: u32,
-    /// Its limits.
+    /// Limits that the entry sets.
     #[serde(default)]
     pub limits: ClassLimits,
 }
 
-/// Limits of a service, each for one target.
+/// Limits of a service, each of which applies to one target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceLimits {
-    /// Requests that a target runs at once; the smaller of this and what it announced holds.
+    /// Concurrent requests of a target. The smaller of this and the announced number applies.
     pub slots: u32,
-    /// Connections to a target; the smaller of this and what it announced holds.
+    /// Connections to a target. The smaller of this and the announced number applies.
     pub connections: u32,
-    /// Requests that wait for a slot of a target.
+    /// Requests that may wait for a slot of a target.
     pub queue: u32,
-    /// Longest time to the first byte of an answer, in milliseconds.
+    /// Maximum time to the first byte of a response, in milliseconds.
     pub first_byte_ms: u32,
 }
 
@@ -107,59 +107,60 @@
     }
 }
 
-/// How a target is probed.
+/// Settings of the health probes of a service's targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProbeSettings {
-    /// Path of the health page.
+    /// Path that is requested.
     pub path: String,
-    /// Time between two probes, in milliseconds, 100 to 600000.
+    /// Interval between probes, in milliseconds, 100 to 600000.
     #[serde(default = "probe_period")]
     pub period_ms: u32,
 }
 
-/// A service.
+/// A service: a group of equivalent targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: ids::EntryName,
-    /// The owner whose operators may change it.
+    /// Owner whose operators may change this entry.
     pub owner: ids::EntryName,
-    /// Its class.
+    /// Class of the service.
     pub class: ids::EntryName,
-    /// Its limits.
+    /// Limits that the entry sets.
     #[serde(default)]
     pub limits: ServiceLimits,
-    /// Time over which a new target's share grows to the full one, in milliseconds.
+    /// Time over which the share of calls of a new target increases to its full share, in
+    /// milliseconds.
     #[serde(default)]
     pub slow_start_ms: u32,
-    /// How its targets are probed; absent: they are not.
+    /// Settings of health probes; absent if the targets are not probed.
     #[serde(default)]
     pub probe: Option<ProbeSettings>,
 }
 
-/// Which requests a route takes.
+/// Conditions that a request must meet to match a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteMatch {
-    /// The request's host without port; absent: every host.
+    /// Host of the request, without port; absent to match every host.
     #[serde(default)]
     pub host: Option<String>,
-    /// Beginning of the request's path; the longest wins.
+    /// Prefix of the request's path. The route with the longest matching prefix is selected.
     pub path_prefix: String,
-    /// Methods; empty: every method.
+    /// Methods of the request; empty to match every method.
     #[serde(default)]
     pub methods: Vec<String>,
 }
 
-/// Limits of a route, each for one call.
+/// Limits of a route, each of which applies to one call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouteLimits {
-    /// Longest time of a call, in milliseconds, 1 to 600000.
+    /// Maximum duration of a call, in milliseconds, 1 to 600000.
     pub deadline_ms: u32,
-    /// Times a call is tried in all, 1 to 10.
+    /// Maximum number of attempts of a call, including the first, 1 to 10.
     pub tries: u32,
 }
 
@@ -172,101 +173,103 @@
     }
 }
 
-/// Cost of a kind of request.
+/// Cost of the requests with a given path prefix and method.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindCost {
-    /// Beginning of the request's path.
+    /// Prefix of the request's path.
     pub path_prefix: String,
-    /// Methods; empty: every method.
+    /// Methods of the request; empty to match every method.
     #[serde(default)]
     pub methods: Vec<String>,
     /// Cost units, 1 to 1000.
     pub cost: u32,
 }
 
-/// A service that takes a part of a route's calls.
+/// A service that receives a share of a route's calls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutePart {
-    /// The service.
+    /// Name of the service.
     pub service: ids::EntryName,
-    /// Its weight against the other parts, 0 to 1000000; a part of weight 0 gets nothing.
+    /// Weight relative to the other parts, 0 to 1000000. A part of weight 0 receives no calls.
     pub weight: u32,
 }
 
-/// A route.
+/// A route: the requests that it matches and the services that receive them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: ids::EntryName,
-    /// The owner that its calls are counted for.
+    /// Owner that the route's calls are accounted to.
     pub owner: ids::EntryName,
-    /// The class that its calls are served in.
+    /// Class that determines the priority of the route's calls.
     pub class: ids::EntryName,
-    /// The service that its calls go to, unless they are split.
+    /// Service that receives the route's calls unless `split` is set.
     pub service: ids::EntryName,
-    /// Services that share its calls by weight; empty: all go to `service`.
+    /// Services that share the route's calls by weight; empty if all calls go to `service`.
     #[serde(default)]
     pub split: Vec<RoutePart>,
-    /// Time within which an answer is of full worth to callers, in milliseconds; absent: the
-    /// deadline.
+    /// Latency up to which a response has its full value to the caller, in milliseconds; defaults
+    /// to the deadline.
     #[serde(default)]
     pub target_latency_ms: Option<u32>,
-    /// Which requests it takes.
+    /// Requests that the route matches.
     #[serde(rename = "match")]
     pub matches: RouteMatch,
-    /// Whether a request may run more than once; absent: GET, HEAD and OPTIONS may.
+    /// Whether a request may run more than once; if absent, GET, HEAD and OPTIONS requests may.
     #[serde(default)]
     pub idempotent: Option<bool>,
-    /// Its limits.
+    /// Limits that the entry sets.
     #[serde(default)]
     pub limits: RouteLimits,
-    /// Costs by kind of request; the first that fits holds, one unit where none does.
+    /// Costs of requests. The first match applies; a request without a match costs one unit.
     #[serde(default)]
     pub costs: Vec<KindCost>,
-    /// Whether calls may go to targets of other data centres.
+    /// Whether calls may be sent to targets in other data centres.
     #[serde(default = "yes")]
     pub spill: bool,
 }
 
 impl RouteEntry {
-    /// Services that its calls go to, with their weights.
+    /// Returns the services that receive the route's calls, with their weights.
     pub fn parts(&self) -> impl Iterator<Item = (&ids::EntryName, u32)> {
         let whole = self.split.is_empty().then_some((&self.service, 1));
         let parts = self.split.iter().map(|part| (&part.service, part.weight));
         whole.into_iter().chain(parts)
     }
 
-    /// Whether a request of this method may run more than once.
+    /// Returns whether a request with this method may run more than once.
     pub fn is_idempotent(&self, method: &str) -> bool {
         self.idempotent
             .unwrap_or(matches!(method, "GET" | "HEAD" | "OPTIONS"))
     }
 
-    /// Cost of a request, in units.
+    /// Returns the cost of a request, in cost units.
     pub fn cost(&self, method: &str, path: &str) -> u32 {
-        let fits = |cost: &&KindCost| {
-            path.starts_with(&cost.path_prefix) && has_method(&cost.methods, method)
+        let is_match = |cost: &&KindCost| {
+            path.starts_with(&cost.path_prefix) && matches_method(&cost.methods, method)
         };
-        self.costs.iter().find(fits).map_or(1, |cost| cost.cost)
+        self.costs.iter().find(is_match).map_or(1, |cost| cost.cost)
     }
 }
 
 impl RouteMatch {
-    /// Whether a request fits.
+    /// Returns whether a request meets the conditions.
     pub fn fits(&self, host: Option<&str>, path: &str, method: &str) -> bool {
-        let host_fits = self
+        let is_host_match = self
             .host
             .as_deref()
-            .is_none_or(|wanted| host == Some(wanted));
-        host_fits && path.starts_with(&self.path_prefix) && has_method(&self.methods, method)
+            .is_none_or(|expected| host == Some(expected));
+        is_host_match
+            && path.starts_with(&self.path_prefix)
+            && matches_method(&self.methods, method)
     }
 }
 
-fn has_method(methods: &[String], method: &str) -> bool {
-    methods.is_empty() || methods.iter().any(|known| known == method)
+fn matches_method(methods: &[String], method: &str) -> bool {
+    methods.is_empty() || methods.iter().any(|accepted| accepted == method)
 }
 
 fn one() -> u32 {
@@ -281,17 +284,17 @@
     1000
 }
 
-/// Limits of callers' connections, each for one connection or request.
+/// Limits of callers' connections, each of which applies to one connection or request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListenerLimits {
-    /// Largest head of a request, in bytes, 1024 to 1048576.
+    /// Maximum size of the head of a request, in bytes, 1024 to 1048576.
     pub head_bytes: u32,
-    /// Largest body of a request, in bytes; a larger one is refused with status 413.
+    /// Maximum size of the body of a request, in bytes. Larger bodies are refused with status 413.
     pub body_bytes: u64,
-    /// Longest time that a caller takes to send the head of a request, in milliseconds.
+    /// Maximum time for a caller to send the head of a request, in milliseconds, 100 to 600000.
     pub head_ms: u32,
-    /// Time that a connection may stay without a request, in milliseconds.
+    /// Maximum time that a connection may be idle, in milliseconds, 100 to 3600000.
     pub idle_ms: u32,
 }
 
@@ -306,17 +309,17 @@
     }
 }
 
-/// What callers' connections may send and how long they may take. The first by name holds.
+/// Limits of callers' connections. If there are several such entries, the first by name applies.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenerEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: ids::EntryName,
-    /// The owner whose operators may change it.
+    /// Owner whose operators may change this entry.
     pub owner: ids::EntryName,
-    /// Its class.
+    /// Class of the entry.
     pub class: ids::EntryName,
-    /// Its limits.
+    /// Limits that the entry sets.
     #[serde(default)]
     pub limits: ListenerLimits,
 }
@@ -339,7 +342,7 @@
 }
 
 impl CatalogueEntry {
-    /// Its key.
+    /// Returns the key of the entry.
     pub fn key(&self) -> EntryKey {
         let (kind, name) = match self {
             Self::Owner(entry) => (EntryKind::Owner, &entry.name),
@@ -355,7 +358,7 @@
         }
     }
 
-    /// Name of its owner.
+    /// Returns the name of the entry's owner.
     pub fn owner(&self) -> &ids::EntryName {
         match self {
             Self::Owner(entry) => &entry.owner,
@@ -367,7 +370,7 @@
         }
     }
 
-    /// Name of its class.
+    /// Returns the name of the entry's class.
     pub fn class(&self) -> &ids::EntryName {
         match self {
             Self::Owner(entry) => &entry.class,
--- a/crates/catalogue/src/entry/key.rs
+++ b/crates/catalogue/src/entry/key.rs
@@ -1,4 +1,4 @@
-//! What names an entry.
+//! Kinds and keys of catalogue entries.
 
 use std::fmt;
 
@@ -9,22 +9,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryKind {
-    /// Who calls and services belong to; shares capacity by weight.
+    /// A party to whom calls and services belong. Owners share capacity by weight.
     Owner,
-    /// Rank and guaranteed share when capacity is short.
+    /// Priority and guaranteed share of calls when capacity is short.
     Class,
-    /// A group of equal targets.
+    /// A group of equivalent targets.
     Service,
-    /// Which requests go to which service.
+    /// Assignment of requests to services.
     Route,
-    /// What callers' connections may send and how long they may take.
+    /// Limits of callers' connections.
     Listener,
-    /// The move of a service's calls to targets of another version.
+    /// The move of a service's calls to targets with another software version.
     Rollout,
 }
 
 impl EntryKind {
-    /// Every kind, in the order in which they are listed.
+    /// All kinds, in the order in which entries are listed.
     pub const ALL: [Self; 6] = [
         Self::Owner,
         Self::Class,
@@ -34,7 +34,7 @@
         Self::Rollout,
     ];
 
-    /// The word for the kind in JSON and on the command line.
+    /// Returns the name of the kind in JSON and on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Owner => "owner",
@@ -53,7 +53,7 @@
     }
 }
 
-/// The text is none of the six kinds.
+/// Error for a text that is not the name of a kind.
 #[derive(Debug, Clone, PartialEq, Eq, snafu::Snafu)]
 #[snafu(display(
     "{text:?} is not a kind: owner, class, service, route, listener or rollout is expected"
@@ -71,13 +71,13 @@
     }
 }
 
-/// What names an entry: its kind and its name within the kind.
+/// Key of an entry: its kind and its name, which is unique within the kind.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryKey {
-    /// The kind.
+    /// Kind of the entry.
     pub kind: EntryKind,
-    /// The name within the kind.
+    /// Name of the entry.
     pub name: ids::EntryName,
 }
 
--- a/crates/catalogue/src/file.rs
+++ b/crates/catalogue/src/file.rs
@@ -1,10 +1,10 @@
-//! Catalogue files: JSON with comments, one file one change.
+//! Catalogue files. Each file is JSON with comments and holds one change.
 
 use hazeltiller_units::jsonc;
 
 use crate::change;
 
-/// Reads the text of a file.
+/// Parses the text of a catalogue file.
 pub fn parse_file(text: &str) -> Result<change::ChangeSet, jsonc::JsoncError> {
     jsonc::parse_jsonc(text)
 }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,7 +1,8 @@
-//! The catalogue: what operators write, and the only thing they steer the system by.
+//! The catalogue: the configuration that operators write and that is distributed to every node.
 //!
-//! A catalogue is a value. A change either yields the next whole value or a list of faults, so a
-//! version can never be in force in part, and no value with a dangling reference can be built.
+//! A catalogue is an immutable value. A change either produces the complete next value or a list of
+//! faults, so that no version can be in force in part and no catalogue contains a dangling
+//! reference.
 
 pub mod change;
 pub mod check;
--- a/crates/catalogue/src/rollout.rs
+++ b/crates/catalogue/src/rollout.rs
@@ -1,44 +1,44 @@
-//! Roll-outs: a service's calls move to targets of another version, or stay.
+//! Roll-outs, which move a service's calls to targets with another software version, or roll back.
 //!
-//! A roll-out is an entry of the catalogue, so that it is as durable as the catalogue and reaches
-//! every node in the same way. Operators order one; only the control group's leader writes the
-//! entry, from phase to phase.
+//! A roll-out is a catalogue entry, so that it is as durable as the catalogue and reaches every
+//! node in the same way. Operators request a roll-out, but only the leader of the control group
+//! writes the entry and moves it from phase to phase.
 
 use std::fmt;
 
 use hazeltiller_units::ids;
 use serde::{Deserialize, Serialize};
 
-/// Thousandths in a whole share.
+/// Share of all calls, in thousandths.
 pub const FULL_SHARE_PERMILLE: u32 = 1000;
-/// Shortest time that a roll-out may be given, in milliseconds.
-pub const SHORTEST_MS: u32 = 2_000;
-/// Longest time that a roll-out may be given, in milliseconds.
-pub const LONGEST_MS: u32 = 7 * 24 * 3_600_000;
+/// Minimum time limit of a roll-out, in milliseconds.
+pub const MIN_TIME_LIMIT_MS: u32 = 2_000;
+/// Maximum time limit of a roll-out, in milliseconds.
+pub const MAX_TIME_LIMIT_MS: u32 = 7 * 24 * 3_600_000;
 
-/// How far a roll-out is.
+/// Phase of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutPhase {
-    /// A few targets of the new version take a small share of the calls.
+    /// A few targets with the new version receive a small share of the calls.
     Trial,
-    /// All targets of the new version take a larger share.
+    /// All targets with the new version receive a larger share of the calls.
     Widening,
-    /// All calls go to the new version; the old targets are still there.
+    /// All calls go to the new version; the old targets are kept for a rollback.
     Switched,
-    /// The move is done; the old targets may stop.
+    /// The roll-out is complete; the old targets may be stopped.
     Succeeded,
-    /// All calls stay with the old version; the new targets may stop.
+    /// All calls go to the old version; the new targets may be stopped.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Whether it goes on.
+    /// Returns whether the roll-out is still in progress.
     pub fn is_running(self) -> bool {
         matches!(self, Self::Trial | Self::Widening | Self::Switched)
     }
 
-    /// The word in JSON, logs and on the command line.
+    /// Returns the name of the phase in JSON, in logs and on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Trial => "trial",
@@ -60,31 +60,31 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutEntry {
-    /// The service.
+    /// Name of the service.
     pub name: ids::EntryName,
     /// Owner of the service.
     pub owner: ids::EntryName,
     /// Class of the service.
     pub class: ids::EntryName,
-    /// Version of the catalogue that the order made: tells it from every other one, and stays the
-    /// same through its phases.
+    /// Catalogue version that the order created. Identifies the roll-out and stays the same in all
+    /// of its phases.
     pub order: ids::CatalogueVersion,
-    /// The version that calls move to.
+    /// Software version that calls move to.
     pub to: ids::SoftwareVersion,
-    /// Versions of the old targets, as far as the leader knew them at the last step.
+    /// Software versions of the old targets known to the leader at the last step.
     pub from: Vec<ids::SoftwareVersion>,
-    /// Time from the order to its limit, in milliseconds.
+    /// Time limit of the roll-out, counted from the order, in milliseconds.
     pub within_ms: u32,
-    /// How far it is.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// Largest share of the calls that the new version takes in this phase, in thousandths.
+    /// Maximum share of the calls that the new version receives in this phase, in thousandths.
     pub share_permille: u32,
-    /// Why it is in this phase.
+    /// Reason for which the roll-out entered this phase.
     pub reason: String,
 }
 
 impl RolloutEntry {
-    /// The same roll-out in another phase.
+    /// Returns the roll-out in another phase.
     #[must_use]
     pub fn in_phase(&self, phase: RolloutPhase, share_permille: u32, reason: String) -> Self {
         Self {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// The same roll-out with these versions among the old ones. Whoever takes an order may not
-    /// have heard of all targets yet.
+    /// Adds versions to the old ones. The leader may not know all targets yet when it accepts the
+    /// order.
     #[must_use]
     pub fn with_old_versions(mut self, versions: Vec<ids::SoftwareVersion>) -> Self {
         for version in versions {
@@ -108,24 +108,24 @@
     }
 }
 
-/// What an operator wants of a service's roll-out.
+/// Request of an operator that concerns a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutRequest {
-    /// To begin one.
+    /// Starts a roll-out.
     Start(RolloutOrder),
-    /// To take the one under way back.
+    /// Aborts and rolls back the current roll-out of the service.
     Abort(ids::EntryName),
 }
 
-/// An order to move a service's calls to another version.
+/// Order to move a service's calls to another software version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutOrder {
-    /// The service.
+    /// Name of the service.
     pub service: ids::EntryName,
-    /// The version that calls move to.
+    /// Software version that calls move to.
     pub to: ids::SoftwareVersion,
-    /// Time from the order to its limit, in milliseconds.
+    /// Time limit of the roll-out, counted from the order, in milliseconds.
     pub within_ms: u32,
 }
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -1,11 +1,11 @@
-//! The catalogue as a value, its version and its digest.
+//! The state of the catalogue at one version, and its digest.
 //!
-//! The digest covers the content and the digest before it. So two processes with one digest hold
-//! the same entries and came to them by the same changes, and a snapshot proves itself against a
-//! digest that its receiver learnt elsewhere.
+//! The digest covers the content and the previous digest. Processes with equal digests therefore
+//! hold the same entries and reached them by the same changes, and a snapshot can be verified
+//! against a digest that its receiver learnt elsewhere.
 //!
-//! The content enters the digest as the sum of its entries' hashes, so that a change costs as much
-//! as the entries that it names and not as the whole catalogue.
+//! The content enters the digest as the sum of the hashes of the entries, so that the cost of
+//! updating it depends on the entries in a change and not on the size of the catalogue.
 
 use hazeltiller_units::ids;
 use indexmap::IndexMap;
@@ -13,27 +13,28 @@
 
 use crate::{change, check, entry, rollout};
 
+/// Width of the integers into which a digest is divided for addition, in bytes.
 const LANE_BYTES: usize = 8;
 
 /// A catalogue at one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueState {
-    /// Its version.
+    /// Version of the catalogue.
     pub version: ids::CatalogueVersion,
     /// Term of the leader that accepted the last change.
     pub term: ids::LeaderTerm,
-    /// Digest of the version before.
+    /// Digest of the previous version.
     pub previous: ids::StateDigest,
-    /// Its digest.
+    /// Digest of this version.
     pub digest: ids::StateDigest,
-    /// Sum of the hashes of its entries.
+    /// Sum of the hashes of all entries.
     pub content: ids::StateDigest,
-    /// Its entries by key, in order.
+    /// Entries, ordered by key.
     pub entries: IndexMap<entry::EntryKey, entry::CatalogueEntry>,
 }
 
 impl CatalogueState {
-    /// The state after a change, or every fault that the change has.
+    /// Returns the state after a change, or all faults of the change.
     pub fn apply(
         &self,
         set: &change::ChangeSet,
@@ -48,7 +49,7 @@
         Ok(state)
     }
 
-    /// Every fault that a change has against this state.
+    /// Returns all faults of a change to this state.
     pub fn check(&self, set: &change::ChangeSet) -> Vec<change::CatalogueFault> {
         let mut faults = check::check_set(self, set);
         let mut entries: check::EntryView = self.entries.iter().collect();
@@ -62,18 +63,18 @@
         faults
     }
 
-    /// Becomes the next version by a change that was checked against this very state.
+    /// Advances to the next version by a change that has been checked against this state.
     pub fn advance(&mut self, set: &change::ChangeSet, term: ids::LeaderTerm) {
         for key in &set.remove {
             if let Some(old) = self.entries.shift_remove(key) {
-                self.content = sum(self.content, entry_hash(&old), u64::wrapping_sub);
+                self.content = combine_lanes(self.content, entry_hash(&old), u64::wrapping_sub);
             }
         }
         for entry in &set.put {
-            self.content = sum(self.content, entry_hash(entry), u64::wrapping_add);
+            self.content = combine_lanes(self.content, entry_hash(entry), u64::wrapping_add);
             let (_, old) = self.entries.insert_sorted(entry.key(), entry.clone());
             if let Some(old) = old {
-                self.content = sum(self.content, entry_hash(&old), u64::wrapping_sub);
+                self.content = combine_lanes(self.content, entry_hash(&old), u64::wrapping_sub);
             }
         }
         self.version = self.version.next();
@@ -82,25 +83,27 @@
         self.digest = self.computed_digest();
     }
 
-    /// Whether the digest is that of the content.
+    /// Returns whether the digest matches the content. The initial state must be empty.
     pub fn has_valid_digest(&self) -> bool {
-        let empty = self.version == ids::CatalogueVersion::default();
-        if empty {
+        let is_initial = self.version == ids::CatalogueVersion::default();
+        if is_initial {
             self.entries.is_empty()
         } else {
-            let none = ids::StateDigest::default();
+            let zero = ids::StateDigest::default();
             let hashes = self.entries.values().map(entry_hash);
-            let content = hashes.fold(none, |total, hash| sum(total, hash, u64::wrapping_add));
+            let content = hashes.fold(zero, |total, hash| {
+                combine_lanes(total, hash, u64::wrapping_add)
+            });
             self.content == content && self.digest == self.computed_digest()
         }
     }
 
-    /// The entry of a key.
+    /// Returns the entry with a key.
     pub fn get(&self, key: &entry::EntryKey) -> Option<&entry::CatalogueEntry> {
         self.entries.get(key)
     }
 
-    /// The owner of a name.
+    /// Returns the owner with a name.
     pub fn owner(&self, name: &ids::EntryName) -> Option<&entry::OwnerEntry> {
         match self.find(entry::EntryKind::Owner, name) {
             Some(entry::CatalogueEntry::Owner(entry)) => Some(entry),
@@ -108,7 +111,7 @@
         }
     }
 
-    /// The class of a name.
+    /// Returns the class with a name.
     pub fn class(&self, name: &ids::EntryName) -> Option<&entry::ClassEntry> {
         match self.find(entry::EntryKind::Class, name) {
             Some(entry::CatalogueEntry::Class(entry)) => Some(entry),
@@ -116,7 +119,7 @@
         }
     }
 
-    /// The service of a name.
+    /// Returns the service with a name.
     pub fn service(&self, name: &ids::EntryName) -> Option<&entry::ServiceEntry> {
         match self.find(entry::EntryKind::Service, name) {
             Some(entry::CatalogueEntry::Service(entry)) => Some(entry),
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Every route, in order of name.
+    /// Returns all routes, ordered by name.
     pub fn routes(&self) -> impl Iterator<Item = &entry::RouteEntry> {
         self.entries.values().filter_map(|entry| match entry {
             entry::CatalogueEntry::Route(route) => Some(route),
@@ -132,9 +135,9 @@
         })
     }
 
-    /// The latest roll-out of each service that had one.
+    /// Returns the latest roll-out of each service that has had one.
     pub fn rollouts(&self) -> impl Iterator<Item = &rollout::RolloutEntry> {
-        // Entries are in order of their keys, of which this is the last kind.
+        // Entries are ordered by key, and roll-outs are the last kind.
         let is_before =
             |key: &entry::EntryKey, _: &entry::CatalogueEntry| key.kind < entry::EntryKind::Rollout;
         let first = self.entries.partition_point(is_before);
@@ -147,7 +150,7 @@
             })
     }
 
-    /// The latest roll-out of a service.
+    /// Returns the latest roll-out of a service.
     pub fn rollout(&self, service: &ids::EntryName) -> Option<&rollout::RolloutEntry> {
         match self.find(entry::EntryKind::Rollout, service) {
             Some(entry::CatalogueEntry::Rollout(entry)) => Some(entry),
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Limits of callers' connections, where an entry sets them.
+    /// Returns the limits of callers' connections, if an entry sets them.
     pub fn listener_limits(&self) -> Option<entry::ListenerLimits> {
         let mut listeners = self.entries.values().filter_map(|entry| match entry {
             entry::CatalogueEntry::Listener(listener) => Some(&listener.limits),
@@ -164,22 +167,23 @@
         listeners.next().cloned()
     }
 
-    /// The change that makes these entries the whole catalogue, with nothing in it that is so
-    /// already; each entry stands once. Roll-outs of services that stay are none of the
-    /// operator's entries and go on.
+    /// Returns the change that makes these entries the whole catalogue. Entries that are already
+    /// present are left out. The entries must have distinct keys. Roll-outs are not part of the
+    /// operator's entries; those of services that remain are kept.
     pub fn replacing(&self, mut entries: Vec<entry::CatalogueEntry>) -> change::ChangeSet {
         let kept: Vec<entry::CatalogueEntry> = self
             .rollouts()
-            .filter_map(|rollout| rollout_beside(rollout, &entries))
+            .filter_map(|rollout| kept_rollout(rollout, &entries))
             .collect();
         entries.extend(kept);
         let keys: indexmap::IndexSet<entry::EntryKey> =
             entries.iter().map(entry::CatalogueEntry::key).collect();
-        let is_gone = |key: &&entry::EntryKey| !keys.contains(*key);
-        let is_news = |entry: &entry::CatalogueEntry| self.entries.get(&entry.key()) != Some(entry);
+        let is_removed = |key: &&entry::EntryKey| !keys.contains(*key);
+        let is_changed =
+            |entry: &entry::CatalogueEntry| self.entries.get(&entry.key()) != Some(entry);
         change::ChangeSet {
-            remove: self.entries.keys().filter(is_gone).cloned().collect(),
-            put: entries.into_iter().filter(is_news).collect(),
+            remove: self.entries.keys().filter(is_removed).cloned().collect(),
+            put: entries.into_iter().filter(is_changed).collect(),
         }
     }
 
@@ -205,8 +209,9 @@
     }
 }
 
-/// A roll-out with the owner and class that its service has among other entries, if it is there.
-fn rollout_beside(
+/// Returns a roll-out with the owner and class of its service in a new set of entries, or `None` if
+/// the set does not contain the service.
+fn kept_rollout(
     rollout: &rollout::RolloutEntry,
     entries: &[entry::CatalogueEntry],
 ) -> Option<entry::CatalogueEntry> {
@@ -222,23 +227,23 @@
 }
 
 fn entry_hash(entry: &entry::CatalogueEntry) -> ids::StateDigest {
-    let bytes = postcard::to_stdvec(entry).expect("an entry's maps know their length");
+    let bytes = postcard::to_stdvec(entry).expect("entries contain no maps of unknown length");
     ids::StateDigest(*blake3::hash(&bytes).as_bytes())
 }
 
-/// Combines two digests as four numbers of 64 bits each, without carry between them.
-fn sum(
-    one: ids::StateDigest,
-    other: ids::StateDigest,
+/// Combines two digests as four independent 64-bit integers.
+fn combine_lanes(
+    left: ids::StateDigest,
+    right: ids::StateDigest,
     combine: fn(u64, u64) -> u64,
 ) -> ids::StateDigest {
     let mut total = [0; 32];
     for (index, lane) in total.chunks_exact_mut(LANE_BYTES).enumerate() {
         let number = |digest: &ids::StateDigest| {
             let bytes = &digest.0[index * LANE_BYTES..][..LANE_BYTES];
-            u64::from_le_bytes(bytes.try_into().expect("a lane has eight bytes"))
+            u64::from_le_bytes(bytes.try_into().expect("a lane is eight bytes wide"))
         };
-        lane.copy_from_slice(&combine(number(&one), number(&other)).to_le_bytes());
+        lane.copy_from_slice(&combine(number(&left), number(&right)).to_le_bytes());
     }
     ids::StateDigest(total)
 }
--- a/crates/catalogue/tests/acceptance.rs
+++ b/crates/catalogue/tests/acceptance.rs
@@ -1,11 +1,11 @@
-//! A change is accepted whole or refused whole, and every fault is named.
+//! Changes are accepted or refused as a whole, and all faults are reported.
 
 use hazeltiller_catalogue::{change, state};
 use hazeltiller_units::{code, ids};
 use serde_json::{Value, json};
 
 fn set(document: Value) -> change::ChangeSet {
-    serde_json::from_value(document).expect("the table holds changes")
+    serde_json::from_value(document).expect("the document is a change")
 }
 
 fn base() -> state::CatalogueState {
@@ -20,7 +20,7 @@
     let empty = state::CatalogueState::default();
     empty
         .apply(&set(document), ids::LeaderTerm(1))
-        .expect("the base is sound")
+        .expect("the base is valid")
 }
 
 fn route(name: &str, service: &str, matches: &Value) -> Value {
@@ -98,7 +98,7 @@
     let change = set(json!({"put": [good, bad]}));
     let faults = base
         .apply(&change, ids::LeaderTerm(2))
-        .expect_err("one entry is at fault");
+        .expect_err("one entry is invalid");
     assert_eq!(faults.len(), 1, "{faults:?}");
 }
 
@@ -117,7 +117,7 @@
         let first = added.apply(&set(json!({"remove": [keys[0]]})), ids::LeaderTerm(2));
         first.expect_err("a route still refers to the service");
         let both = added.apply(&set(json!({"remove": keys})), ids::LeaderTerm(2));
-        let both = both.expect("both go in one change");
+        let both = both.expect("both can be removed in one change");
         assert_eq!(
             (both.routes().count(), both.version),
             (1, ids::CatalogueVersion(3))
--- a/crates/catalogue/tests/decoders.rs
+++ b/crates/catalogue/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Every decoder of text that people write: it never panics, and what it takes goes round.
+//! Decoders of text that people write never panic, and decoded values survive a round trip.
 
 use hazeltiller_catalogue::{change, file};
 use hazeltiller_units::{code, ids, measure};
@@ -9,8 +9,8 @@
 
 const SEED: u64 = 7;
 const CASES: u32 = 2000;
-const DEEP: usize = 100_000;
-const SOUND: &str = r#"{
+const NESTING_DEPTH: usize = 100_000;
+const VALID_FILE: &str = r#"{
     // A change with an entry of each kind.
     "put": [
         {"kind": "class", "name": "counter", "owner": "registru", "class": "counter", "rank": 1},
@@ -33,21 +33,21 @@
     })
 }
 
-/// Reads a file's text; what is taken must go round as JSON.
-fn try_file(text: &str) -> bool {
+/// Returns whether a file can be parsed, and checks that its content survives a round trip as JSON.
+fn round_trip_file(text: &str) -> bool {
     let Ok(set) = file::parse_file(text) else {
         return false;
     };
-    let again = serde_json::to_string(&set).expect("a change has only text keys");
-    let back = file::parse_file(&again).expect("what was written can be read");
-    assert_eq!(serde_json::to_string(&back).ok(), Some(again));
+    let encoded = serde_json::to_string(&set).expect("a change only has string keys");
+    let decoded = file::parse_file(&encoded).expect("an encoded change can be parsed");
+    assert_eq!(serde_json::to_string(&decoded).ok(), Some(encoded));
     true
 }
 
 #[test]
 fn arbitrary_text() {
-    let tried = runner().run(&any::<String>(), |text| {
-        try_file(&text);
+    let outcome = runner().run(&any::<String>(), |text| {
+        round_trip_file(&text);
         drop(serde_json::from_str::<change::ChangeRequest>(&text));
         drop(text.parse::<ids::EntryName>());
         drop(text.parse::<ids::StateDigest>());
@@ -57,37 +57,38 @@
         }
         Ok(())
     });
-    tried.expect("no case fails");
+    outcome.expect("no case fails");
 }
 
 #[test]
 fn damaged_files() {
-    assert!(try_file(SOUND), "an undamaged file is taken");
+    assert!(round_trip_file(VALID_FILE), "an intact file can be parsed");
     let damage = (
         any::<prop::sample::Index>(),
         prop::char::any(),
         any::<prop::sample::Index>(),
         any::<bool>(),
     );
-    let tried = runner().run(&damage, |(at, character, cut, is_cut)| {
-        let mut text: Vec<char> = SOUND.chars().collect();
+    let outcome = runner().run(&damage, |(at, character, cut, is_truncated)| {
+        let mut text: Vec<char> = VALID_FILE.chars().collect();
         let at = at.index(text.len());
         text[at] = character;
-        if is_cut {
+        if is_truncated {
             text.truncate(cut.index(text.len()));
         }
-        try_file(&text.into_iter().collect::<String>());
+        round_trip_file(&text.into_iter().collect::<String>());
         Ok(())
     });
-    tried.expect("no case fails");
+    outcome.expect("no case fails");
 }
 
 #[test]
 fn deep_nesting() {
-    for open in ["[", "{\"put\":", "[{\"a\":"] {
-        let text = open.repeat(DEEP);
-        file::parse_file(&text).expect_err("it never ends");
-        serde_json::from_str::<change::ChangeRequest>(&text).expect_err("it never ends");
+    for opening in ["[", "{\"put\":", "[{\"a\":"] {
+        let text = opening.repeat(NESTING_DEPTH);
+        file::parse_file(&text).expect_err("the nesting is never closed");
+        serde_json::from_str::<change::ChangeRequest>(&text)
+            .expect_err("the nesting is never closed");
     }
 }
 
--- a/crates/catalogue/tests/digest.rs
+++ b/crates/catalogue/tests/digest.rs
@@ -1,4 +1,4 @@
-//! The digest against the content it stands for.
+//! The digest of a catalogue follows its content and history.
 
 use hazeltiller_catalogue::{change, state};
 use hazeltiller_units::ids;
@@ -8,7 +8,7 @@
     serde_json::from_value(json!({"put": put, "remove": remove})).expect("the sets are valid")
 }
 
-fn first() -> state::CatalogueState {
+fn first_state() -> state::CatalogueState {
     let put = json!([
         {"kind": "class", "name": "counter", "owner": "registru", "class": "counter"},
         {"kind": "owner", "name": "registru", "owner": "registru", "class": "counter"},
@@ -16,26 +16,26 @@
     let state = state::CatalogueState::default();
     state
         .apply(&set(put, json!([])), ids::LeaderTerm(1))
-        .expect("it is valid")
+        .expect("the change is valid")
 }
 
 #[test]
 fn content_returns() {
-    let one = json!({"kind": "service", "name": "a", "owner": "registru", "class": "counter"});
-    let put = set(json!([one]), json!([]));
+    let service = json!({"kind": "service", "name": "a", "owner": "registru", "class": "counter"});
+    let put = set(json!([service]), json!([]));
     let changed = set(
         json!([{"kind": "service", "name": "a", "owner": "registru",
                               "class": "counter", "slow_start_ms": 9}]),
         json!([]),
     );
     let removed = set(json!([]), json!([{"kind": "service", "name": "a"}]));
-    let (start, mut state) = (first(), first());
+    let (start, mut state) = (first_state(), first_state());
     for step in [&put, &changed, &removed] {
         let before = state.clone();
         state = state
             .apply(step, ids::LeaderTerm(1))
             .expect("each step is valid");
-        assert!(state.has_valid_digest(), "the sum follows each change");
+        assert!(state.has_valid_digest(), "the digest follows each change");
         assert_eq!(state.previous, before.digest);
         assert_ne!(
             (state.digest, state.content),
@@ -44,21 +44,21 @@
     }
     assert_eq!(
         state.content, start.content,
-        "the content is that of the start again"
+        "the content equals that of the start"
     );
-    assert_ne!(state.digest, start.digest, "the way to it is another");
+    assert_ne!(state.digest, start.digest, "the history differs");
 }
 
 #[test]
 fn forgery_found() {
-    let sound = first();
-    let mut forged = sound.clone();
+    let valid = first_state();
+    let mut forged = valid.clone();
     forged.entries.pop();
     assert!(!forged.has_valid_digest(), "an entry is missing");
-    let mut forged = sound.clone();
+    let mut forged = valid.clone();
     forged.term = ids::LeaderTerm(2);
-    assert!(!forged.has_valid_digest(), "the term is another");
-    let mut forged = sound;
+    assert!(!forged.has_valid_digest(), "the term differs");
+    let mut forged = valid;
     forged.previous = ids::StateDigest([1; 32]);
-    assert!(!forged.has_valid_digest(), "the way there is another");
+    assert!(!forged.has_valid_digest(), "the previous digest differs");
 }
