--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -112,13 +112,13 @@
         let challenge: wire::LinkChallenge = read_frame(stream).await?;
         let prove = |side| {
             self.key
-                .prove(side, &hello, &challenge.identity, challenge.nonce)
+                .compute_proof(side, &hello, &challenge.identity, challenge.nonce)
         };
-        if !wire::GroupKey::accepts(&prove(wire::LinkSide::Listener), &challenge.proof) {
+        if !wire::GroupKey::verify_proof(&prove(wire::LinkSide::Responder), &challenge.proof) {
             return Err(HandshakeError::ProofMismatch);
         }
         let proof = wire::LinkProof {
-            proof: prove(wire::LinkSide::Opener),
+            proof: prove(wire::LinkSide::Initiator),
         };
         write_frame(stream, &proof).await?;
         Ok(challenge.identity)
@@ -135,15 +135,15 @@
             });
         }
         let nonce = rand::random();
-        let prove = |side| self.key.prove(side, &hello, &self.identity, nonce);
+        let prove = |side| self.key.compute_proof(side, &hello, &self.identity, nonce);
         let challenge = wire::LinkChallenge {
             identity: self.identity.clone(),
             nonce,
-            proof: prove(wire::LinkSide::Listener),
+            proof: prove(wire::LinkSide::Responder),
         };
         write_frame(stream, &challenge).await?;
         let answer: wire::LinkProof = read_frame(stream).await?;
-        if !wire::GroupKey::accepts(&prove(wire::LinkSide::Opener), &answer.proof) {
+        if !wire::GroupKey::verify_proof(&prove(wire::LinkSide::Initiator), &answer.proof) {
             return Err(HandshakeError::ProofMismatch);
         }
         Ok((hello.identity, hello.purpose))
@@ -161,10 +161,10 @@
 }
 
 async fn read_frame<T: DeserializeOwned>(stream: &mut TcpStream) -> Result<T, HandshakeError> {
-    let mut prefix = [0; codec::LENGTH_BYTES];
+    let mut prefix = [0; codec::LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut prefix).await.context(IoSnafu)?;
     let size = codec::frame_length(prefix).context(DecodeSnafu)?;
-    if size > wire::LARGEST_GREETING {
+    if size > wire::MAX_HANDSHAKE_FRAME_BYTES {
         return Err(codec::CodecError::TooLarge { size }).context(DecodeSnafu);
     }
     let mut body = vec![0; size];
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -82,7 +82,7 @@
     /// Queues a message for a peers address, or drops it if the queue is full.
     pub fn send(&self, to: SocketAddr, frame: &message::PeerFrame) {
         let bytes = codec::encode_frame(frame);
-        let (reason, size) = (frame.message.reason(), bytes.len());
+        let (reason, size) = (frame.message.category(), bytes.len());
         let mut links = self
             .links
             .lock()
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -15,7 +15,7 @@
 
 /// Largest body of a change, in bytes: a document of the largest size, and as much for the entries
 /// that it is translated into.
-const MAX_CHANGE_BYTES: usize = 2 * hazeltiller_wire::document::LARGEST_DOCUMENT;
+const MAX_CHANGE_BYTES: usize = 2 * hazeltiller_wire::document::MAX_DOCUMENT_BYTES;
 const BEARER_PREFIX: &str = "Bearer ";
 
 /// An accepted change.
@@ -220,12 +220,12 @@
     version: ids::CatalogueVersion,
 ) -> Response<http::StreamBody> {
     let status = match code {
-        code::ResultCode::VersionClash
-        | code::ResultCode::RevisionClash
-        | code::ResultCode::RevisionOld
+        code::ResultCode::VersionConflict
+        | code::ResultCode::RevisionConflict
+        | code::ResultCode::RevisionNotNewer
         | code::ResultCode::ChangeIdReused
-        | code::ResultCode::RolloutUnderWay
-        | code::ResultCode::RolloutNeedless
+        | code::ResultCode::RolloutInProgress
+        | code::ResultCode::RolloutUnnecessary
         | code::ResultCode::MemberUnsuitable => StatusCode::CONFLICT,
         code::ResultCode::QuorumMissing
         | code::ResultCode::LeaderUnknown
--- a/crates/daemon/src/operators/revision.rs
+++ b/crates/daemon/src/operators/revision.rs
@@ -13,7 +13,7 @@
 use crate::{dialect, http, process, questions};
 
 /// Largest body of a request, in bytes.
-const MAX_BODY_BYTES: usize = hazeltiller_wire::document::LARGEST_DOCUMENT;
+const MAX_BODY_BYTES: usize = hazeltiller_wire::document::MAX_DOCUMENT_BYTES;
 /// Longest time that a read waits for confirmation by a majority, which answers within a few
 /// milliseconds unless there is none.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -65,7 +65,7 @@
     let mut offer = wire::CallOffer::join(terms, sent.attempt);
     let (sent, received) = (Duration::from_millis(sent.sent_ms), trace::boot_time());
     let mut meter = transit.lock().expect("no holder of the lock panics");
-    offer.spend(meter.record(sent, received));
+    offer.subtract_elapsed(meter.record(sent, received));
     offer
 }
 
@@ -214,11 +214,11 @@
                 return self.refuse(calls::RunResult::Declined, declined);
             }
             dialect::ResponseVerdict::WrongTarget => {
-                let misplaced = not_run(code::ResultCode::TargetMisplaced);
+                let misplaced = not_run(code::ResultCode::WrongTarget);
                 return self.refuse(calls::RunResult::WrongTarget, misplaced);
             }
             dialect::ResponseVerdict::Invalid => {
-                let unsound = wire::CallRefusal::unknown(code::ResultCode::AnswerUnsound);
+                let unsound = wire::CallRefusal::unknown(code::ResultCode::MalformedAnswer);
                 return self.refuse(calls::RunResult::Invalid, unsound);
             }
         }
--- a/crates/daemon/src/questions.rs
+++ b/crates/daemon/src/questions.rs
@@ -198,7 +198,7 @@
 
 impl RpcWriter {
     async fn write(&mut self, text: &str) -> Result<(), TransportError> {
-        let mut frame = Vec::with_capacity(text.len() + codec::LENGTH_BYTES);
+        let mut frame = Vec::with_capacity(text.len() + codec::LENGTH_PREFIX_BYTES);
         frame.extend_from_slice(&(text.len() as u32).to_le_bytes());
         frame.extend_from_slice(text.as_bytes());
         self.0.write_all(&frame).await.context(IoSnafu)
@@ -217,7 +217,7 @@
 
 impl RpcReader {
     async fn read(&mut self) -> Result<String, TransportError> {
-        let mut prefix = [0; codec::LENGTH_BYTES];
+        let mut prefix = [0; codec::LENGTH_PREFIX_BYTES];
         self.0.read_exact(&mut prefix).await.context(IoSnafu)?;
         let size = codec::frame_length(prefix).context(TooLargeSnafu)?;
         let mut body = vec![0; size];
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -164,7 +164,7 @@
     /// Ingress node: forward the response whose head arrived to the caller.
     ForwardAnswer(ids::CallId),
     /// Ingress node: answer with the stored response to an earlier send of the same request.
-    Replay(ids::CallId, wire_ledger::KeptAnswer),
+    Replay(ids::CallId, wire_ledger::StoredAnswer),
     /// Ingress or owner node: refuse the call.
     Refuse(ids::CallId, wire::CallRefusal),
     /// Owner node: run the call.
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -88,7 +88,7 @@
                 wire_ledger::ClaimRecord::Standing(_) => {}
             }
         }
-        let whole = wire_ledger::ClaimsStanding::Whole;
+        let whole = wire_ledger::ClaimsCompleteness::Whole;
         let acceptor = ledger::acceptor::AcceptorState::recover(stored, whole);
         self.state.ledger.acceptor = Some(acceptor);
     }
@@ -189,7 +189,7 @@
         };
         if end == 0 {
             self.answers += 1;
-            let answer = wire_ledger::KeptAnswer {
+            let answer = wire_ledger::StoredAnswer {
                 status: 200,
                 headers: Vec::new(),
                 body: Vec::new(),
@@ -490,7 +490,7 @@
 #[test]
 fn lost_claims_expire() {
     let mut group = FakeGroup::new(1);
-    let lost = wire_ledger::ClaimsStanding::Lost;
+    let lost = wire_ledger::ClaimsCompleteness::Lost;
     let acceptor = ledger::acceptor::AcceptorState::recover(IndexMap::new(), lost);
     group.processes[0].state.ledger.acceptor = Some(acceptor);
     group.send_request(1);
--- a/crates/engine/tests/replication.rs
+++ b/crates/engine/tests/replication.rs
@@ -274,7 +274,7 @@
     assert!(accepted(&network, numbers[0]) && accepted(&network, numbers[2]));
     assert_eq!(
         refusal(&network, numbers[1]),
-        Some(code::ResultCode::VersionClash)
+        Some(code::ResultCode::VersionConflict)
     );
     let reused = network.propose(leader, "ana", 2);
     assert_eq!(
@@ -434,7 +434,7 @@
     assert!(accepted(&network, first) && accepted(&network, race[0]));
     assert_eq!(
         refusal(&network, race[1]),
-        Some(code::ResultCode::RevisionClash),
+        Some(code::ResultCode::RevisionConflict),
         "of two replacements with the same label and base one wins"
     );
     assert_eq!(document(&mut network), Some((7, "one".into())));
@@ -446,7 +446,10 @@
         again.iter().all(|number| accepted(&network, *number)),
         "resends are acknowledged"
     );
-    assert_eq!(refusal(&network, old), Some(code::ResultCode::RevisionOld));
+    assert_eq!(
+        refusal(&network, old),
+        Some(code::ResultCode::RevisionNotNewer)
+    );
     let entries = network.controls[leader].state.replication.as_ref();
     let entries = &entries
         .expect("the process has the control role")
