--- a/benches/balancing.rs
+++ b/benches/balancing.rs
@@ -46,12 +46,16 @@
 /// One load and seed, the same arrivals for each policy.
 fn compare_policies(load: f64, ingresses: usize, seed: u64) {
     let policies = [
-        ("p2c with reports", model::ChoicePolicy::Reducer, 1000),
-        ("p2c with own calls only", model::ChoicePolicy::Reducer, 10),
-        ("round robin", model::ChoicePolicy::RoundRobin, 1000),
+        ("p2c with reports", model::BalancingPolicy::Reducer, 1000),
+        (
+            "p2c with own calls only",
+            model::BalancingPolicy::Reducer,
+            10,
+        ),
+        ("round robin", model::BalancingPolicy::RoundRobin, 1000),
         (
             "least of announced slots",
-            model::ChoicePolicy::LeastAnnounced,
+            model::BalancingPolicy::LeastRequest,
             1000,
         ),
     ];
@@ -59,9 +63,9 @@
         let target = |number| model::ModelTarget {
             service_name: "registru",
             slots: SLOTS,
-            announced: SLOTS,
-            service: if number == 0 { SLOW } else { FAST },
-            queue: 0,
+            announced_slots: SLOTS,
+            mean_run_time: if number == 0 { SLOW } else { FAST },
+            queue_capacity: 0,
             is_broken: false,
         };
         let settings = model::ModelSettings {
@@ -80,8 +84,8 @@
         let count = model.run(&[kind], SPAN).remove(0);
         let figure = json!({"bench": "balancing", "policy": name, "load": load, "ingresses": ingresses, "seed": seed,
             "sent": count.sent, "good": count.good,
-            "p50_ms": count.quantile(0.5) as f64 / 1000.0,
-            "p99_ms": count.quantile(0.99) as f64 / 1000.0});
+            "p50_ms": count.latency_quantile(0.5) as f64 / 1000.0,
+            "p99_ms": count.latency_quantile(0.99) as f64 / 1000.0});
         println!("{figure}");
     }
 }
@@ -120,7 +124,7 @@
         let identity = node::identity(&format!("node-{number}"), &data_centre, region);
         let service = format!("service-{}", number % SERVICES);
         let target = node::target(&format!("target-{number}"), &service, 10);
-        node.hear(&identity, 1, vec![target]);
+        node.receive_record(&identity, 1, vec![target]);
     }
     node.announce(node::target("own", "service-0", 10));
     let began = Instant::now();
--- a/benches/calls.rs
+++ b/benches/calls.rs
@@ -85,7 +85,7 @@
     for node in ["node-1", "node-2"] {
         wait::until("an answer", || async {
             let request = Request::get("/vehicles/1").body(Full::default()).ok()?;
-            let response = fleet.ask(node, "callers", request).await?;
+            let response = fleet.send_request(node, "callers", request).await?;
             response.status().is_success().then_some(())
         })
         .await;
--- a/benches/dissemination/codec.rs
+++ b/benches/dissemination/codec.rs
@@ -100,8 +100,8 @@
     let mut held = state::CatalogueState::default();
     for set in [
         entries::base(),
-        entries::varied(56),
-        entries::put_pairs(&["registru"]),
+        entries::generated(56),
+        entries::put_routed_services(&["registru"]),
     ] {
         held = held.apply(&set, term).expect("the change is valid");
     }
--- a/benches/dissemination/live.rs
+++ b/benches/dissemination/live.rs
@@ -40,7 +40,10 @@
 async fn measure_fleet(nodes: usize) {
     let fleet = start(nodes).await;
     let mut version = 0;
-    for set in [entries::base(), entries::put_pairs(&["registru", "arhiva"])] {
+    for set in [
+        entries::base(),
+        entries::put_routed_services(&["registru", "arhiva"]),
+    ] {
         version = change(&fleet, version, json!({"put": set.put})).await.0;
     }
     time::sleep(SETTLING).await;
--- a/benches/dissemination/virtual_fleet.rs
+++ b/benches/dissemination/virtual_fleet.rs
@@ -33,15 +33,15 @@
 ) -> (reducers::ReducerFleet, Vec<String>) {
     let mut fleet = reducers::ReducerFleet::new(7, tunables, &CONTROLS);
     fleet.accept(entries::base(), &NAMES);
-    fleet.accept(entries::varied(SERVICES), &NAMES);
-    fleet.accept(entries::put_pairs(&["registru"]), &NAMES);
+    fleet.accept(entries::generated(SERVICES), &NAMES);
+    fleet.accept(entries::put_routed_services(&["registru"]), &NAMES);
     let mut names = Vec::new();
     for (index, centre) in CENTRES.iter().enumerate() {
         let share = nodes / CENTRES.len() + usize::from(index < nodes % CENTRES.len());
         names.extend(fleet.add_nodes(centre, share));
     }
     assert!(
-        fleet.run_until(LONG, |fleet| fleet.has_all(&names)),
+        fleet.run_until(LONG, |fleet| fleet.has_converged(&names)),
         "the fleet starts"
     );
     fleet.run(Duration::from_secs(20));
@@ -79,7 +79,7 @@
     let set = entries::put_slots("registru", slots);
     let accepted = fleet.now();
     let version = fleet.accept(set, &NAMES);
-    fleet.run_until(LONG, |fleet| fleet.has_all(names));
+    fleet.run_until(LONG, |fleet| fleet.has_converged(names));
     let mut times = times(fleet, names, version, accepted);
     times.sort_by(f64::total_cmp);
     times
@@ -92,7 +92,7 @@
     accepted: Duration,
 ) -> Vec<f64> {
     let reached = |name: &String| {
-        let reached = &fleet.processes[name].reached;
+        let reached = &fleet.processes[name].in_force_at;
         let later = reached.iter().filter(|(known, _)| **known >= version);
         later.map(|(_, at)| *at).min()
     };
@@ -143,7 +143,7 @@
         .expect("there are nodes")
         .clone();
     let fed = fleet.processes[&relay].state.dissemination.children.len();
-    fleet.cut(reducers::isolated(&[relay.as_str()]));
+    fleet.drop_messages(reducers::isolated(&[relay.as_str()]));
     let others: Vec<String> = names
         .iter()
         .filter(|name| **name != relay)
@@ -159,7 +159,7 @@
             "max_ms": super::percentile(&times, 1.0),
         }),
     );
-    fleet.cut(|_, _| false);
+    fleet.drop_messages(|_, _| false);
     fleet.run(Duration::from_secs(20));
     measure_storm(way, &mut fleet, &names);
 }
@@ -174,7 +174,7 @@
     for name in names {
         fleet.start(name);
     }
-    let back = fleet.run_until(LONG, |fleet| fleet.has_all(names));
+    let back = fleet.run_until(LONG, |fleet| fleet.has_converged(names));
     let seconds = fleet.now().saturating_sub(began).as_secs_f64();
     let source = source_bytes(fleet) as f64;
     let mut by_reason = serde_json::Map::new();
@@ -216,7 +216,7 @@
         .max_by_key(children)
         .expect("there are nodes")
         .clone();
-    fleet.cut(reducers::isolated(&[relay.as_str()]));
+    fleet.drop_messages(reducers::isolated(&[relay.as_str()]));
     let others: Vec<String> = names
         .iter()
         .filter(|name| **name != relay)
--- a/benches/goodput.rs
+++ b/benches/goodput.rs
@@ -75,17 +75,17 @@
         targets: vec![target; TARGETS],
         entries: entries(tries),
         link: LINK,
-        policy: model::ChoicePolicy::Reducer,
+        policy: model::BalancingPolicy::Reducer,
     }
 }
 
-fn target(announced: u32, queue: usize) -> model::ModelTarget {
+fn target(announced_slots: u32, queue_capacity: usize) -> model::ModelTarget {
     model::ModelTarget {
         service_name: "registru",
         slots: SLOTS,
-        announced,
-        service: SERVICE,
-        queue,
+        announced_slots,
+        mean_run_time: SERVICE,
+        queue_capacity,
         is_broken: false,
     }
 }
@@ -107,7 +107,7 @@
             "good_of_capacity": good as f64 / SPAN.as_secs_f64() / CAPACITY});
         for ((path, ..), count) in MIX.iter().zip(&counts) {
             figure[*path] = json!({"good_of_sent": count.good as f64 / count.sent as f64,
-                "p99_ms": count.quantile(0.99) as f64 / 1000.0});
+                "p99_ms": count.latency_quantile(0.99) as f64 / 1000.0});
         }
         println!("{figure}");
     }
@@ -127,7 +127,7 @@
         for (phase, broken) in [("before", 0), ("broken", broken), ("after", 0)] {
             model.set_broken(broken);
             let counts = model.run(&kinds, SPAN);
-            let sum = |part: fn(&model::KindCount) -> u64| counts.iter().map(part).sum::<u64>();
+            let sum = |part: fn(&model::KindStats) -> u64| counts.iter().map(part).sum::<u64>();
             let sent = sum(|count| count.sent);
             let figure = json!({"bench": "retries", "way": way, "phase": phase, "seed": seed,
                 "broken_targets": broken,
--- a/benches/latency.rs
+++ b/benches/latency.rs
@@ -186,7 +186,7 @@
     for node in NODES {
         wait::until("a way to the target", || async {
             let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
-            let response = fleet.ask(node, "callers", request).await?;
+            let response = fleet.send_request(node, "callers", request).await?;
             (response.status() == 200).then_some(())
         })
         .await;
--- a/crates/engine/tests/admission.rs
+++ b/crates/engine/tests/admission.rs
@@ -199,7 +199,7 @@
     let refusal = &owner_node.refusals[&calls[9]];
     assert!(refusal.elsewhere && refusal.retry_after_ms > 0);
     assert_eq!(refusal.load.map(|load| load.queued), Some(8));
-    let late = owner_node.node.pass(Duration::from_millis(501));
+    let late = owner_node.node.advance(Duration::from_millis(501));
     owner_node.record_effects(late);
     assert_eq!(owner_node.limit(calls[1]), "class counter limits.queue_ms");
     assert_eq!(
@@ -235,7 +235,7 @@
     let mut owner_node = OwnerNode::new(10, 0.0);
     let other = node::identity("node-2", "sibiu-a", "ro-centru");
     let elsewhere = vec![node::target("registru-2", "registru", 10)];
-    owner_node.node.hear(&other, 1, elsewhere);
+    owner_node.node.receive_record(&other, 1, elsewhere);
     // 20 calls a second against a limit of 10 for all nodes, for 10 s each with the node owning
     // half and all of the service's slots.
     let mut passed = [0, 0];
@@ -248,9 +248,9 @@
                 *passed += 1;
                 owner_node.end_oldest_run(Duration::ZERO, 200);
             }
-            owner_node.node.pass(Duration::from_millis(50));
+            owner_node.node.advance(Duration::from_millis(50));
         }
-        owner_node.node.hear(&other, 2, Vec::new());
+        owner_node.node.receive_record(&other, 2, Vec::new());
     }
     assert!(
         (54..=57).contains(&passed[0]),
@@ -325,7 +325,7 @@
                 }
                 2 if !owner_node.running.is_empty() => owner_node.end_oldest_run(MILLISECOND * cost, 200),
                 _ => {
-                    let effects = owner_node.node.pass(MILLISECOND * 20 * cost);
+                    let effects = owner_node.node.advance(MILLISECOND * 20 * cost);
                     owner_node.record_effects(effects);
                 }
             }
--- a/crates/engine/tests/announcements.rs
+++ b/crates/engine/tests/announcements.rs
@@ -49,7 +49,7 @@
         warm_up_left: Duration::ZERO,
     };
     let event = membership::MembershipEvent::Announced(announcement);
-    node::of_calls(node.reduce(event::Event::Membership(event)))
+    node::call_effects(node.reduce(event::Event::Membership(event)))
 }
 
 fn withdraw(node: &mut node::NodeReducer, name: &str) {
@@ -83,9 +83,9 @@
 fn lease_not_renewed() {
     let mut node = new_node();
     announce(&mut node, "one", 4, READY);
-    node.pass(LEASE / 2);
+    node.advance(LEASE / 2);
     announce(&mut node, "one", 3, READY);
-    node.pass(LEASE / 2);
+    node.advance(LEASE / 2);
     assert_eq!(state_of(&node, "one"), None, "the lease has expired");
 }
 
@@ -222,9 +222,9 @@
 fn clock_stepped_back() {
     let mut node = new_node();
     announce_incarnation(&mut node, "one", (500, 7), READY);
-    node.pass(LEASE / 2);
+    node.advance(LEASE / 2);
     announce_incarnation(&mut node, "one", (300, 1), READY);
-    node.pass(LEASE / 2);
+    node.advance(LEASE / 2);
     assert_eq!(state_of(&node, "one"), None);
     announce_incarnation(&mut node, "one", (300, 2), READY);
     assert_eq!(state_of(&node, "one"), Some(READY));
--- a/crates/engine/tests/dissemination.rs
+++ b/crates/engine/tests/dissemination.rs
@@ -24,9 +24,12 @@
         names.extend(fleet.add_nodes(centre, nodes));
     }
     fleet.accept(entries::base(), &ALL_CONTROLS);
-    fleet.accept(entries::put_pairs(&["registru", "arhiva"]), &ALL_CONTROLS);
+    fleet.accept(
+        entries::put_routed_services(&["registru", "arhiva"]),
+        &ALL_CONTROLS,
+    );
     assert!(
-        fleet.run_until(SETTLE_TIMEOUT, |fleet| fleet.has_all(&names)),
+        fleet.run_until(SETTLE_TIMEOUT, |fleet| fleet.has_converged(&names)),
         "every node reaches version 2"
     );
     fleet.run(Duration::from_secs(10));
@@ -38,8 +41,11 @@
 }
 
 fn assert_settles(fleet: &mut reducers::ReducerFleet, names: &[String], timeout: Duration) {
-    let has_all = fleet.run_until(timeout, |fleet| fleet.has_all(names));
-    assert!(has_all, "every reachable node reaches the latest version");
+    let has_converged = fleet.run_until(timeout, |fleet| fleet.has_converged(names));
+    assert!(
+        has_converged,
+        "every reachable node reaches the latest version"
+    );
 }
 
 /// Returns the node with the most children.
@@ -93,8 +99,8 @@
 fn lossy_links() {
     for seed in 10..14 {
         let (mut fleet, names) = settled_fleet(seed, 10);
-        fleet.lost_share = 0.2;
-        fleet.doubled_share = 0.2;
+        fleet.loss_rate = 0.2;
+        fleet.duplication_rate = 0.2;
         for slots in 1..40 {
             change_slots(&mut fleet, slots);
             fleet.run(Duration::from_millis(70));
@@ -134,7 +140,7 @@
     ];
     for (case, delta) in cases {
         let message = wire::DisseminationMessage::Delta(delta);
-        fleet.tell(&name, received(parent.clone(), message));
+        fleet.inject(&name, received(parent.clone(), message));
         fleet.run(Duration::from_secs(3));
         let in_force = &fleet.processes[&name].state.dissemination.in_force;
         assert_eq!(**in_force, *held, "{case} changes nothing");
@@ -144,7 +150,7 @@
         .entries
         .retain(|key, _| key.kind.to_string() != "service");
     let message = wire::DisseminationMessage::Snapshot(wire::PackedCatalogue::pack(&dangling));
-    fleet.tell(&name, received(parent.clone(), message));
+    fleet.inject(&name, received(parent.clone(), message));
     fleet.run(Duration::from_secs(1));
     assert_eq!(
         fleet.processes[&name].state.dissemination.in_force.digest,
@@ -198,7 +204,7 @@
         (delta(1, 3), 5),
         (delta(2, 3), 5),
     ] {
-        fleet.tell(&name, event);
+        fleet.inject(&name, event);
         fleet.run(Duration::from_millis(1));
         let held = fleet.processes[&name].state.dissemination.version();
         assert_eq!(held, ids::CatalogueVersion(version));
@@ -209,7 +215,7 @@
 fn silent_relay() {
     let (mut fleet, names) = settled_fleet(30, 20);
     let relay = relay(&fleet);
-    fleet.cut(reducers::isolated(&[relay.as_str()]));
+    fleet.drop_messages(reducers::isolated(&[relay.as_str()]));
     let others: Vec<String> = names.into_iter().filter(|name| *name != relay).collect();
     change_slots(&mut fleet, 3);
     assert_settles(&mut fleet, &others, Duration::from_secs(3));
@@ -230,7 +236,7 @@
         .collect();
     assert_eq!(behind, [relay.as_str()], "only the relay is behind");
     assert_eq!(view.in_force_everywhere_at_ms, None);
-    fleet.cut(|_, _| false);
+    fleet.drop_messages(|_, _| false);
     let everywhere = fleet.run_until(SETTLE_TIMEOUT, |fleet| {
         let state = &fleet.processes["c-0"].state;
         let view = convergence::view(state, fleet.accepted.version);
@@ -244,7 +250,7 @@
     let (mut fleet, names) = settled_fleet(40, 8);
     // One control is partitioned from the other two but not from the nodes. It cannot tell that it
     // is out of date.
-    fleet.cut(|from, to| {
+    fleet.drop_messages(|from, to| {
         let is_stale = |identity: &membership::PeerIdentity| identity.instance.as_str() == "c-1";
         is_stale(from) && to.is_control || is_stale(to) && from.is_control
     });
@@ -254,7 +260,7 @@
     }
     assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
     // Now only the outdated control and the nodes of its data centre reach a node that restarts.
-    fleet.cut(|from, to| {
+    fleet.drop_messages(|from, to| {
         let is_majority_control = |identity: &membership::PeerIdentity| {
             matches!(identity.instance.as_str(), "c-0" | "c-2")
         };
@@ -281,11 +287,11 @@
     fleet.kill(&name);
     // Two followers that have not heard of the last commit answer; the leader does not.
     fleet.accept(entries::put_slots("registru", 4), &["c-0"]);
-    fleet.cut(reducers::isolated(&["c-0"]));
+    fleet.drop_messages(reducers::isolated(&["c-0"]));
     fleet.start(&name);
     fleet.run(Duration::from_secs(1));
     assert!(!fleet.processes[&name].state.dissemination.floor.is_known());
-    fleet.cut(|_, _| false);
+    fleet.drop_messages(|_, _| false);
     assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
@@ -295,7 +301,7 @@
     tunables.dissemination.history_steps = 2;
     let mut fleet = reducers::ReducerFleet::new(43, tunables, &CONTROLS);
     fleet.accept(entries::base(), &ALL_CONTROLS);
-    fleet.accept(entries::put_pairs(&["registru"]), &ALL_CONTROLS);
+    fleet.accept(entries::put_routed_services(&["registru"]), &ALL_CONTROLS);
     change_slots(&mut fleet, 4);
     fleet.run(Duration::from_millis(100));
     let state = &mut fleet.process("c-0").state;
@@ -313,7 +319,7 @@
     let (mut fleet, names) = settled_fleet(41, 4);
     let name = names[0].clone();
     fleet.kill(&name);
-    fleet.cut(reducers::isolated(&[name.as_str()]));
+    fleet.drop_messages(reducers::isolated(&[name.as_str()]));
     fleet.start(&name);
     fleet.run(Duration::from_secs(20));
     let state = &fleet.processes[&name].state;
@@ -328,7 +334,7 @@
     // The outdated control alone must not end the wait.
     fleet.accept(entries::put_slots("registru", 4), &["c-0", "c-2"]);
     let restarted_name = name.clone();
-    fleet.cut(move |from, to| {
+    fleet.drop_messages(move |from, to| {
         let names = [from.instance.as_str(), to.instance.as_str()];
         names.contains(&restarted_name.as_str()) && !names.contains(&"c-1")
     });
@@ -341,7 +347,7 @@
         .waiting_reason(state)
         .expect("the node is waiting");
     assert!(reason.contains("majority"), "{reason}");
-    fleet.cut(|_, _| false);
+    fleet.drop_messages(|_, _| false);
     assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
@@ -391,7 +397,7 @@
             version: ids::CatalogueVersion(0),
             wants_snapshot: true,
         };
-        fleet.tell(
+        fleet.inject(
             &name,
             received(from, wire::DisseminationMessage::Pull(pull)),
         );
@@ -416,12 +422,12 @@
 fn many_changes_missed() {
     let (mut fleet, names) = settled_fleet(60, 6);
     let name = names[1].clone();
-    fleet.cut(reducers::isolated(&[name.as_str()]));
+    fleet.drop_messages(reducers::isolated(&[name.as_str()]));
     for slots in 0..500 {
         change_slots(&mut fleet, 1 + slots);
         fleet.run(Duration::from_millis(10));
     }
-    fleet.cut(|_, _| false);
+    fleet.drop_messages(|_, _| false);
     fleet.counts_bytes = true;
     assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
     let snapshot_bytes = hazeltiller_wire::codec::encode_body(&fleet.accepted).len() as u64;
@@ -446,11 +452,11 @@
 #[test]
 fn pair_added_and_removed() {
     let (mut fleet, names) = settled_fleet(70, 6);
-    fleet.lost_share = 0.1;
+    fleet.loss_rate = 0.1;
     for round in 0..10 {
         let name = format!("service-{round}");
         let name = name.as_str();
-        let pair = entries::put_pairs(&[name]);
+        let pair = entries::put_routed_services(&[name]);
         fleet.accept(pair, &ALL_CONTROLS);
         fleet.run(Duration::from_millis(30));
         let premature_removal = entries::remove("service", name);
@@ -471,7 +477,7 @@
     let (mut fleet, names) = settled_fleet(80, 8);
     let is_isolated =
         |identity: &membership::PeerIdentity| identity.data_centre.as_str() == "sibiu-a";
-    fleet.cut(move |from, to| is_isolated(from) != is_isolated(to));
+    fleet.drop_messages(move |from, to| is_isolated(from) != is_isolated(to));
     for slots in 1..120 {
         fleet.accept(entries::put_slots("registru", slots), &["c-0", "c-2"]);
         fleet.run(Duration::from_secs(1));
@@ -482,7 +488,7 @@
         ids::CatalogueVersion(2),
         "the isolated part keeps its version"
     );
-    fleet.cut(|_, _| false);
+    fleet.drop_messages(|_, _| false);
     assert_settles(&mut fleet, &names, SETTLE_TIMEOUT);
 }
 
@@ -491,7 +497,7 @@
     let (mut fleet, names) = settled_fleet(90, 8);
     let name = names[4].clone();
     let isolated_name = name.clone();
-    fleet.cut(move |from, to| {
+    fleet.drop_messages(move |from, to| {
         [&from.instance, &to.instance]
             .iter()
             .any(|instance| instance.as_str() == isolated_name)
@@ -501,7 +507,7 @@
     for control in ALL_CONTROLS {
         fleet.kill(control);
     }
-    fleet.cut(|_, _| false);
+    fleet.drop_messages(|_, _| false);
     assert_settles(&mut fleet, std::slice::from_ref(&name), SETTLE_TIMEOUT);
     let address: Option<SocketAddr> = fleet.processes[&name].state.dissemination.parent.address;
     let controls = &fleet.processes["c-0"].state.settings.control;
--- a/crates/engine/tests/expected.rs
+++ b/crates/engine/tests/expected.rs
@@ -32,7 +32,7 @@
         node.state.settings.tunables.retry.free_placements = 3;
         for (name, data_centre, _) in targets {
             let identity = node::identity(&format!("node-{name}"), data_centre, "ro-centru");
-            node.hear(&identity, 1, vec![node::target(name, "registru", SLOTS)]);
+            node.receive_record(&identity, 1, vec![node::target(name, "registru", SLOTS)]);
         }
         let mut ingress = Self { node, last_call: 0 };
         // The first call creates the views of the targets.
@@ -158,7 +158,7 @@
     tried.sort();
     assert_eq!(tried, ["one", "three", "two"]);
     assert_eq!(plan.offer.patience_ms, u32::MAX, "there is no other target");
-    ingress.node.pass(Duration::from_millis(20));
+    ingress.node.advance(Duration::from_millis(20));
 }
 
 impl Ingress {
@@ -180,7 +180,7 @@
     fn decline_after(&mut self, took: Duration) {
         self.arrive();
         let call = ids::CallId(self.last_call);
-        self.node.pass(took);
+        self.node.advance(took);
         let code = hazeltiller_units::code::ResultCode::LatencyUnreachable;
         self.node.call(calls::CallEvent::AttemptEnded {
             call,
@@ -236,7 +236,7 @@
 fn old_reports_decay() {
     let mut ingress = Ingress::new(&[("old", "brasov-a", 100), ("new", "brasov-a", 100)]);
     ingress.report("old", 2 * SLOTS, 100_000);
-    ingress.node.pass(Duration::from_secs(4));
+    ingress.node.advance(Duration::from_secs(4));
     for _ in 0..40 {
         ingress.report("new", SLOTS + 1, 100_000);
     }
--- a/crates/engine/tests/health.rs
+++ b/crates/engine/tests/health.rs
@@ -132,7 +132,7 @@
         !owner.is_failing(),
         "a successful answer overrides health checks"
     );
-    owner.node.pass(Duration::from_mins(1));
+    owner.node.advance(Duration::from_mins(1));
     assert!(owner.is_failing(), "the outcome has decayed");
     owner.probe(true);
     assert!(!owner.is_failing());
@@ -167,7 +167,7 @@
         for number in 0..targets {
             let name = format!("registru-{number}");
             let identity = node::identity(&format!("node-{name}"), "brasov-a", "ro-centru");
-            node.hear(&identity, 1, vec![node::target(&name, "registru", 10)]);
+            node.receive_record(&identity, 1, vec![node::target(&name, "registru", 10)]);
         }
         Self { node, last_call: 0 }
     }
@@ -242,17 +242,17 @@
 fn ejected_on_first_report() {
     let mut ingress = Ingress::new(4);
     assert_eq!(ingress.call(100, 1), 1, "the first report ejects it");
-    ingress.node.pass(Duration::from_secs(3));
+    ingress.node.advance(Duration::from_secs(3));
     assert_eq!(
         ingress.call(100, 1),
         1,
         "one probing call after the ejection"
     );
-    ingress.node.pass(Duration::from_secs(3));
+    ingress.node.advance(Duration::from_secs(3));
     assert_eq!(ingress.call(100, 1), 0, "the second ejection is longer");
-    ingress.node.pass(Duration::from_secs(2));
+    ingress.node.advance(Duration::from_secs(2));
     ingress.call(100, 0);
-    ingress.node.pass(Duration::from_secs(1));
+    ingress.node.advance(Duration::from_secs(1));
     let recovered = ingress.node.state.routing.views[&name("registru-0")].health;
     assert_eq!(
         recovered,
@@ -297,7 +297,7 @@
     let mut missed = 0;
     for _ in 0..200 {
         missed += u32::from(!ingress.reach(|target| target != "registru-3"));
-        ingress.node.pass(Duration::from_millis(10));
+        ingress.node.advance(Duration::from_millis(10));
     }
     assert!(missed <= 6, "each is retried once a second: {missed}");
 }
@@ -329,7 +329,7 @@
             );
         }
         ingress.node.call(calls::CallEvent::Finished(call));
-        ingress.node.pass(Duration::from_millis(10));
+        ingress.node.advance(Duration::from_millis(10));
     }
     assert_eq!(attempts, [1, 101, 201], "one per second");
 }
--- a/crates/engine/tests/membership.rs
+++ b/crates/engine/tests/membership.rs
@@ -70,7 +70,7 @@
         .processes
         .values()
         .filter(|process| process.is_running);
-    let state = |process: &reducers::FakeProcess| {
+    let state = |process: &reducers::SimulatedProcess| {
         let mut targets = process
             .state
             .membership
@@ -137,11 +137,11 @@
         fleet.run(Duration::from_secs(8));
         let leave = || event::Event::Membership(membership::MembershipEvent::Leave);
         for name in &names[..3] {
-            fleet.tell(name, leave());
+            fleet.inject(name, leave());
             fleet.run(Duration::from_millis(100));
             fleet.kill(name);
         }
-        fleet.cut(reducers::isolated(&["c-1"]));
+        fleet.drop_messages(reducers::isolated(&["c-1"]));
         for name in &names[..3] {
             fleet.run(Duration::from_millis(600));
             fleet.start(name);
@@ -167,7 +167,7 @@
         fleet.run(Duration::from_secs(20));
         let bytes = names
             .iter()
-            .map(|name| fleet.processes[name].largest_gossip);
+            .map(|name| fleet.processes[name].largest_gossip_bytes);
         largest.push(bytes.max().unwrap_or_default());
         let sent = names.iter().map(|name| fleet.sent_bytes(name)).max();
         let rate = sent.unwrap_or_default() / 20;
@@ -182,7 +182,7 @@
 #[test]
 fn draining_spreads() {
     let (mut fleet, names) = settled_fleet(3, 20);
-    fleet.tell(&names[0], announce("t-1", wire::TargetState::Ready));
+    fleet.inject(&names[0], announce("t-1", wire::TargetState::Ready));
     let all_in_state = |state| {
         move |fleet: &reducers::ReducerFleet| {
             known_states(fleet, "t-1")
@@ -194,7 +194,7 @@
         Duration::from_secs(2),
         all_in_state(wire::TargetState::Ready)
     ));
-    fleet.tell(&names[0], announce("t-1", wire::TargetState::Draining));
+    fleet.inject(&names[0], announce("t-1", wire::TargetState::Draining));
     assert!(fleet.run_until(
         Duration::from_secs(2),
         all_in_state(wire::TargetState::Draining)
@@ -205,7 +205,7 @@
 fn slow_link_ejects_nobody() {
     let (mut fleet, names) = settled_fleet(4, 10);
     let (first, second) = (names[0].clone(), names[1].clone());
-    fleet.cut(move |from, to| {
+    fleet.drop_messages(move |from, to| {
         let pair = [from.instance.as_str(), to.instance.as_str()];
         pair.contains(&first.as_str()) && pair.contains(&second.as_str())
     });
@@ -249,9 +249,9 @@
         let dead = names[7].clone();
         fleet.kill(&dead);
         // The only rumour about the dead member reaches some of the others.
-        fleet.lost_share = 0.6;
+        fleet.loss_rate = 0.6;
         fleet.run(Duration::from_secs(8));
-        fleet.lost_share = 0.0;
+        fleet.loss_rate = 0.0;
         let others: Vec<String> = names.into_iter().filter(|name| *name != dead).collect();
         let is_classified = |fleet: &reducers::ReducerFleet| {
             let is_correct = |at: &String, of: &String| {
@@ -275,7 +275,7 @@
     let leaver = names[3].clone();
     let copy = fleet.processes[&leaver].state.membership.own.clone();
     let leave = event::Event::Membership(membership::MembershipEvent::Leave);
-    fleet.tell(&leaver, leave);
+    fleet.inject(&leaver, leave);
     fleet.run(Duration::from_millis(50));
     fleet.kill(&leaver);
     let count = names.len();
@@ -284,7 +284,7 @@
     let from = fleet.processes[&names[0]].state.settings.identity.clone();
     let records = wire::MembershipMessage::Records(vec![copy]);
     let message = message::PeerMessage::Membership(records);
-    fleet.tell(&names[5], event::Event::Received { from, message });
+    fleet.inject(&names[5], event::Event::Received { from, message });
     fleet.run(Duration::from_secs(10));
     assert!(all_know(&fleet, count), "the leaver is not restored");
     fleet.start(&leaver);
@@ -305,8 +305,8 @@
     let from = fleet.processes[&names[0]].state.settings.identity.clone();
     let records = wire::MembershipMessage::Records(vec![earlier.clone()]);
     let message = message::PeerMessage::Membership(records);
-    fleet.tell(&names[1], event::Event::Received { from, message });
-    fleet.tell(&name, announce("t-2", wire::TargetState::Ready));
+    fleet.inject(&names[1], event::Event::Received { from, message });
+    fleet.inject(&name, announce("t-2", wire::TargetState::Ready));
     fleet.run(Duration::from_secs(8));
     let own = &fleet.processes[&name].state.membership.own;
     assert!(own.identity.incarnation > earlier.identity.incarnation);
@@ -325,7 +325,7 @@
     let (local_nodes, remote_nodes) = names.split_at(10);
     let leaver = local_nodes[4].clone();
     let is_remote = |identity: &wire::PeerIdentity| identity.data_centre.as_str() == "sibiu-a";
-    fleet.cut(move |from, to| is_remote(from) != is_remote(to));
+    fleet.drop_messages(move |from, to| is_remote(from) != is_remote(to));
     fleet.run(Duration::from_secs(12));
     for (own_side, other_side) in [(local_nodes, remote_nodes), (remote_nodes, local_nodes)] {
         assert_eq!(
@@ -350,24 +350,24 @@
     // Targets change on both sides, and one node leaves on one side.
     for step in 0..60 {
         let (first, second) = (&local_nodes[step % 4], &remote_nodes[step % 5]);
-        fleet.tell(
+        fleet.inject(
             first,
             announce(&format!("n-{}", step % 7), wire::TargetState::Ready),
         );
-        fleet.tell(
+        fleet.inject(
             second,
             announce(&format!("f-{}", step % 7), wire::TargetState::Ready),
         );
         fleet.run(Duration::from_secs(2));
     }
-    fleet.tell(
+    fleet.inject(
         &leaver,
         event::Event::Membership(membership::MembershipEvent::Leave),
     );
     fleet.run(Duration::from_millis(50));
     fleet.kill(&leaver);
     fleet.run(Duration::from_secs(5));
-    fleet.cut(|_, _| false);
+    fleet.drop_messages(|_, _| false);
     let count = names.len();
     let others: Vec<String> = names
         .iter()
@@ -399,7 +399,7 @@
 #[test]
 fn endpoint_churn() {
     let (mut fleet, names) = settled_fleet(9, 20);
-    fleet.lost_share = 0.05;
+    fleet.loss_rate = 0.05;
     for step in 0..100 {
         let state = if step % 3 == 0 {
             wire::TargetState::Draining
@@ -407,7 +407,7 @@
             wire::TargetState::Ready
         };
         let at = &names[step * 7 % names.len()];
-        fleet.tell(at, announce(&format!("t-{}", step % 4), state));
+        fleet.inject(at, announce(&format!("t-{}", step % 4), state));
         fleet.run(Duration::from_millis(100));
     }
     assert!(
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -48,22 +48,22 @@
 
 /// Returns the calls that callers send at `load` times the rate that loads the targets to about
 /// nine tenths.
-fn kinds(load: f64, moment: model::CallMoment) -> Vec<model::CallKind> {
-    let habit = model::CallerHabit {
-        returns: 2,
-        patience: Some(Duration::from_secs(4)),
+fn kinds(load: f64, timing: model::CallTiming) -> Vec<model::CallKind> {
+    let caller_policy = model::CallerPolicy {
+        retries: 2,
+        timeout: Some(Duration::from_secs(4)),
     };
     let lookups = model::CallKind {
-        habit,
+        caller_policy,
         inner: Some(model::InnerCalls {
             kind: 2,
             count: 2,
-            moment,
+            timing,
         }),
         ..model::CallKind::plain("/lookup/7", 105.0 * load)
     };
     let issues = model::CallKind {
-        habit,
+        caller_policy,
         ..model::CallKind::plain("/issue/7", 55.0 * load)
     };
     vec![lookups, issues, model::CallKind::plain("/detail/7", 0.0)]
@@ -73,9 +73,9 @@
     let target = |service_name: &'static str, service_ms: u64| model::ModelTarget {
         service_name,
         slots: 10,
-        announced: 10,
-        service: Duration::from_millis(service_ms),
-        queue: 40,
+        announced_slots: 10,
+        mean_run_time: Duration::from_millis(service_ms),
+        queue_capacity: 40,
         is_broken: false,
     };
     let registru = [8, 10, 10, 14].map(|unit| target("registru", unit));
@@ -86,7 +86,7 @@
         targets: [&registru[..], &arhiva[..]].concat(),
         entries: entries(),
         link: Duration::from_millis(2),
-        policy: model::ChoicePolicy::Reducer,
+        policy: model::BalancingPolicy::Reducer,
     };
     model::CallModel::new(settings).with_ingresses(|node| {
         node.state.settings.tunables.routing.compared = 3;
@@ -97,9 +97,9 @@
 /// Outcome of each kind of calls before, during and after a surge.
 struct SurgeResult {
     seed: u64,
-    before: Vec<model::KindCount>,
-    surge: Vec<model::KindCount>,
-    after: Vec<model::KindCount>,
+    before: Vec<model::KindStats>,
+    surge: Vec<model::KindStats>,
+    after: Vec<model::KindStats>,
 }
 
 impl SurgeResult {
@@ -107,7 +107,7 @@
         Self::play_on(
             seed,
             model(seed),
-            model::CallMoment::First,
+            model::CallTiming::AtStart,
             [SURGE_TIME, RECOVERY_TIME],
         )
     }
@@ -119,7 +119,7 @@
         Self::play_on(
             seed,
             model,
-            model::CallMoment::Last,
+            model::CallTiming::AtEnd,
             [NORMAL_TIME, SURGE_TIME],
         )
     }
@@ -129,14 +129,14 @@
     fn play_on(
         seed: u64,
         mut model: model::CallModel,
-        moment: model::CallMoment,
+        timing: model::CallTiming,
         [surge, settling]: [Duration; 2],
     ) -> Self {
         let phases = vec![
-            (kinds(1.0, moment), NORMAL_TIME),
-            (kinds(1.6, moment), surge),
-            (kinds(1.0, moment), settling),
-            (kinds(1.0, moment), NORMAL_TIME),
+            (kinds(1.0, timing), NORMAL_TIME),
+            (kinds(1.6, timing), surge),
+            (kinds(1.0, timing), settling),
+            (kinds(1.0, timing), NORMAL_TIME),
         ];
         let mut counts = model.run_phases(phases).into_iter();
         let mut next = || counts.next().expect("four phases were played");
@@ -153,7 +153,7 @@
 
     /// Returns the offers for each call that arrived at an ingress node during the surge.
     fn offers_per_call(&self) -> f64 {
-        let sum = |part: fn(&model::KindCount) -> u64| self.surge.iter().map(part).sum::<u64>();
+        let sum = |part: fn(&model::KindStats) -> u64| self.surge.iter().map(part).sum::<u64>();
         sum(|count| count.tries) as f64 / sum(|count| count.arrivals) as f64
     }
 
@@ -183,8 +183,8 @@
     LazyLock::new(|| (1..=3).map(SurgeResult::play).collect());
 
 /// Returns the share of requests that are answered within the target latency of lookups.
-fn in_time(count: &model::KindCount) -> f64 {
-    count.within(TARGET_LATENCY) as f64 / count.sent as f64
+fn in_time(count: &model::KindStats) -> f64 {
+    count.count_within(TARGET_LATENCY) as f64 / count.sent as f64
 }
 
 /// Three seconds after a surge, at least nine tenths of the goodput before it are restored.
@@ -251,8 +251,8 @@
 
 /// Returns the counts of lookups while issues overload `arhiva`, which also runs the inner calls of
 /// lookups.
-fn lookups_under_issue_overload(seed: u64) -> model::KindCount {
-    let mut kinds = kinds(1.0, model::CallMoment::Last);
+fn lookups_under_issue_overload(seed: u64) -> model::KindStats {
+    let mut kinds = kinds(1.0, model::CallTiming::AtEnd);
     kinds[1].rate *= 2.0;
     let mut model = model(seed).with_processors(MESSAGE_TIME);
     let mut counts = model.run(&kinds, NORMAL_TIME);
--- a/crates/engine/tests/quarantine.rs
+++ b/crates/engine/tests/quarantine.rs
@@ -98,7 +98,7 @@
             if refusal.code == code::ResultCode::RequestQuarantined
     );
     assert!(refused, "refused by the ingress node: {effects:?}");
-    node.pass(Duration::from_mins(6));
+    node.advance(Duration::from_mins(6));
     assert_eq!(offer(&mut node, 13, 1), None, "the quarantine has expired");
 }
 
@@ -106,7 +106,7 @@
 fn peers_told() {
     let mut node = reducer();
     let peer = node::identity("node-2", "sibiu-a", "ro-centru");
-    node.hear(&peer, 1, Vec::new());
+    node.receive_record(&peer, 1, Vec::new());
     let crashed = quarantine::QuarantineEvent::Crashed(crash(1, "first"));
     let effects = node.reduce(event::Event::Quarantine(crashed));
     let sent = effects.into_iter().find_map(|effect| match effect {
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -34,7 +34,7 @@
             let name = format!("registru-{number}");
             let identity = node::identity(&format!("node-{name}"), "brasov-a", "ro-centru");
             let targets = vec![node::target(&name, "registru", 10)];
-            node.hear(&identity, 1, targets);
+            node.receive_record(&identity, 1, targets);
         }
         // Ejection would remove targets from the choice.
         node.state.settings.tunables.health.ejected_percent = 0;
--- a/crates/engine/tests/routing.rs
+++ b/crates/engine/tests/routing.rs
@@ -67,7 +67,7 @@
         for (name, data_centre, region, slots) in targets {
             let identity = node::identity(&format!("node-{name}"), data_centre, region);
             let targets = vec![node::target(name, "registru", *slots)];
-            node.hear(&identity, 1, targets);
+            node.receive_record(&identity, 1, targets);
         }
         Self {
             node,
@@ -194,7 +194,7 @@
     let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
     let spread = ingress.spread("/", 100, |target| if target == "near" { 9 } else { 1 });
     assert!(spread["near"] <= 2, "{spread:?}");
-    ingress.node.pass(Duration::from_secs(30));
+    ingress.node.advance(Duration::from_secs(30));
     let spread = ingress.spread("/", 100, |_| 1);
     assert!(
         spread["near"] >= 30,
@@ -208,12 +208,12 @@
     ingress.spread("/", 10, |_| 0);
     let identity = node::identity("node-new", "brasov-a", "ro-centru");
     let new = vec![node::target("new", "registru", 10)];
-    ingress.node.hear(&identity, 1, new);
+    ingress.node.receive_record(&identity, 1, new);
     let load = |_: &str| 1;
     let mut shares = Vec::new();
     for _ in 0..3 {
         shares.push(ingress.spread("/", 1000, load)["new"]);
-        ingress.node.pass(Duration::from_secs(5));
+        ingress.node.advance(Duration::from_secs(5));
     }
     assert!(
         (20..=150).contains(&shares[0]),
@@ -236,7 +236,7 @@
     let identity = node::identity("node-near", "brasov-a", "ro-centru");
     let mut record = node::target("near", "registru", 10);
     record.state = hazeltiller_wire::membership::TargetState::Draining;
-    ingress.node.hear(&identity, 2, vec![record]);
+    ingress.node.receive_record(&identity, 2, vec![record]);
     let spread = ingress.spread("/", 50, |_| 0);
     assert_eq!(spread, IndexMap::from([("near-2".into(), 50)]));
 }
@@ -246,13 +246,13 @@
     let mut ingress = Ingress::new(&[NEAR]);
     // No messages arrive for long enough that membership considers the node unreachable.
     for _ in 0..600 {
-        ingress.node.pass(Duration::from_millis(100));
+        ingress.node.advance(Duration::from_millis(100));
     }
     let near: ids::InstanceName = "node-near".parse().expect("it is a name");
     assert!(!ingress.node.state.membership.is_reachable(&near));
     let identity = node::identity("node-region", "sibiu-a", "ro-centru");
     let region = vec![node::target("region", "registru", 10)];
-    ingress.node.hear(&identity, 1, region);
+    ingress.node.receive_record(&identity, 1, region);
     let spread = ingress.spread("/", 20, |_| 0);
     assert_eq!(spread, IndexMap::from([("region".into(), 20)]));
     let chosen = ingress.arrive("/near").map(|(_, target)| target);
--- a/crates/engine/tests/split.rs
+++ b/crates/engine/tests/split.rs
@@ -22,7 +22,7 @@
     for service in services {
         let identity = node::identity(&format!("node-{service}"), "brasov-a", "ro-centru");
         let target = node::target(&format!("target-{service}"), service, 1000);
-        node.hear(&identity, 1, vec![target]);
+        node.receive_record(&identity, 1, vec![target]);
     }
     node
 }
@@ -46,7 +46,7 @@
     let mut node = ingress([90, 10], &["old", "new"]);
     let counts = shares(&mut node, 1, 100);
     assert!((9..=11).contains(&counts["target-new"]), "{counts:?}");
-    node.put(&entries([0, 1]));
+    node.apply_entries(&entries([0, 1]));
     let counts = shares(&mut node, 101, 20);
     assert_eq!(counts, IndexMap::from([("target-new".into(), 20)]));
 }
--- a/crates/engine/tests/throttle.rs
+++ b/crates/engine/tests/throttle.rs
@@ -39,7 +39,7 @@
     fn new() -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries());
         let identity = node::identity("node-2", "brasov-a", "ro-centru");
-        node.hear(
+        node.receive_record(
             &identity,
             1,
             vec![node::target("registru-1", "registru", 4)],
--- a/crates/engine/tests/urgency.rs
+++ b/crates/engine/tests/urgency.rs
@@ -265,7 +265,7 @@
     let mut owner_node = OwnerNode::full();
     let (waiting, refusal) = owner_node.offer("common", 5000);
     assert_eq!(refusal, None);
-    let effects = owner_node.node.pass(Duration::from_millis(201));
+    let effects = owner_node.node.advance(Duration::from_millis(201));
     let refused = effects
         .iter()
         .any(|effect| matches!(effect, calls::CallEffect::Refuse(call, _) if *call == waiting));
@@ -307,9 +307,9 @@
     let target = |service_ms| model::ModelTarget {
         service_name: "registru",
         slots: 6,
-        announced: 6,
-        service: Duration::from_millis(service_ms),
-        queue: 24,
+        announced_slots: 6,
+        mean_run_time: Duration::from_millis(service_ms),
+        queue_capacity: 24,
         is_broken: false,
     };
     let settings = model::ModelSettings {
@@ -318,7 +318,7 @@
         targets: [60, 90, 90, 180].map(target).to_vec(),
         entries: entries(latency_ms),
         link: Duration::from_millis(1),
-        policy: model::ChoicePolicy::Reducer,
+        policy: model::BalancingPolicy::Reducer,
     };
     let mut model = model::CallModel::new(settings).with_ingresses(|node| {
         node.state.settings.tunables.routing.compared = compared;
@@ -438,9 +438,9 @@
     let target = |number: u64| model::ModelTarget {
         service_name: "registru",
         slots: 6,
-        announced: 6,
-        service: Duration::from_millis(60 + 40 * (number % 4)),
-        queue: 24,
+        announced_slots: 6,
+        mean_run_time: Duration::from_millis(60 + 40 * (number % 4)),
+        queue_capacity: 24,
         is_broken: false,
     };
     let settings = model::ModelSettings {
@@ -449,7 +449,7 @@
         targets: (0..30).map(target).collect(),
         entries: entries(Some(300)),
         link: Duration::from_millis(1),
-        policy: model::ChoicePolicy::Reducer,
+        policy: model::BalancingPolicy::Reducer,
     };
     let mut model = model::CallModel::new(settings).with_ingresses(|node| {
         node.state.settings.tunables.routing.compared = compared;
--- a/crates/engine/tests/verdict.rs
+++ b/crates/engine/tests/verdict.rs
@@ -15,22 +15,22 @@
 /// Number of calls that it may have had in addition.
 const CALL_SLACK: f64 = 50.0;
 
-fn scene(seed: u64, fault: rollouts::VersionFault) -> rollouts::RolloutScene {
-    rollouts::RolloutScene {
+fn scene(seed: u64, fault: rollouts::VersionFault) -> rollouts::RolloutScenario {
+    rollouts::RolloutScenario {
         seed,
         fault,
-        share: 0.35,
+        fault_share: 0.35,
         targets: 56,
         rate: 400.0,
         within: Duration::from_secs(12),
-        is_troubled: true,
+        has_disturbances: true,
     }
 }
 
 fn outcomes(fault: rollouts::VersionFault) -> Vec<rollouts::RolloutOutcome> {
     let play = |seed| {
         let mut judge = verdict::SequentialJudge::default();
-        rollouts::play(scene(seed, fault), &mut judge)
+        rollouts::simulate(scene(seed, fault), &mut judge)
     };
     (0..SEEDS).map(play).collect()
 }
@@ -48,7 +48,7 @@
     }
     for (seed, outcome) in outcomes.iter().enumerate() {
         let bound = outcome.runs as f64 * MAX_CALL_SHARE + CALL_SLACK;
-        let coming = outcome.coming as f64;
+        let coming = outcome.new_version_runs as f64;
         assert!(coming <= bound, "{fault:?}, seed {seed}: {outcome:?}");
     }
 }
--- a/crates/testkit/src/entries.rs
+++ b/crates/testkit/src/entries.rs
@@ -29,12 +29,12 @@
 }
 
 /// Puts services, each with a route of the same name.
-pub fn put_pairs(names: &[&str]) -> change::ChangeSet {
+pub fn put_routed_services(names: &[&str]) -> change::ChangeSet {
     let entries = names.iter().flat_map(|name| [service(name), route(name)]);
     change(&json!({"put": entries.collect::<Vec<Value>>()}))
 }
 
-/// Changes a service of [`put_pairs`].
+/// Changes a service of [`put_routed_services`].
 pub fn put_slots(name: &str, slots: u32) -> change::ChangeSet {
     let mut service = service(name);
     service["limits"] = json!({"slots": slots});
@@ -48,7 +48,7 @@
 
 /// Entries as various as a real catalogue's: services with two routes each, and their owners and
 /// classes, from a fixed seed.
-pub fn varied(services: usize) -> change::ChangeSet {
+pub fn generated(services: usize) -> change::ChangeSet {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let mut word = || -> String {
         let length = random.random_range(4..10);
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -199,7 +199,7 @@
     }
 
     /// Empties the data folder of an instance that does not run.
-    pub fn empty_data(&self, name: &str) {
+    pub fn delete_data(&self, name: &str) {
         let folder = self.folder.path().join(name);
         std::fs::remove_dir_all(folder).expect("the instance had a folder");
     }
@@ -216,14 +216,14 @@
     }
 
     /// Sets the rule for all traffic between the peers listeners of two instances, both ways.
-    pub fn set_pair(&self, one: &str, other: &str, rule: proxy::FaultRule) {
+    pub fn set_pair_rule(&self, one: &str, other: &str, rule: proxy::FaultRule) {
         let (one, other) = (&self.instances[one].proxy, &self.instances[other].proxy);
         one.set_source(other.address.ip(), rule);
         other.set_source(one.address.ip(), rule);
     }
 
     /// Sends a request to a listener of an instance; `None` when there is no answer.
-    pub async fn ask(
+    pub async fn send_request(
         &self,
         name: &str,
         listener: &str,
@@ -238,7 +238,7 @@
         let request = Request::get(path)
             .body(Full::default())
             .expect("the path is a URI");
-        let response = self.ask(name, "operators", request).await?;
+        let response = self.send_request(name, "operators", request).await?;
         serde_json::from_slice(response.body()).ok()
     }
 
@@ -248,7 +248,7 @@
         let request = Request::post("/v1/changes")
             .body(body)
             .expect("the path is a URI");
-        let response = self.ask(name, "operators", request).await?;
+        let response = self.send_request(name, "operators", request).await?;
         let answer = serde_json::from_slice(response.body()).ok()?;
         Some((response.status().as_u16(), answer))
     }
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -14,13 +14,13 @@
 
 /// Who chooses a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChoicePolicy {
+pub enum BalancingPolicy {
     /// The reducer of the ingress node.
     Reducer,
     /// Each ingress node goes round.
     RoundRobin,
     /// Each ingress node takes the target with the fewest own calls for its announced slots.
-    LeastAnnounced,
+    LeastRequest,
 }
 
 /// A target of the model.
@@ -31,11 +31,11 @@
     /// Requests that it really runs at once.
     pub slots: u32,
     /// Requests that it announces.
-    pub announced: u32,
+    pub announced_slots: u32,
     /// Mean time of a run for each cost unit.
-    pub service: Duration,
+    pub mean_run_time: Duration,
     /// Requests that wait inside of it; more are refused.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Whether the connection breaks under every request.
     pub is_broken: bool,
 }
@@ -48,7 +48,7 @@
     /// How many a second callers send.
     pub rate: f64,
     /// What their callers do where there is no good answer.
-    pub habit: CallerHabit,
+    pub caller_policy: CallerPolicy,
     /// Calls that each run makes itself; it fails if one of them does.
     pub inner: Option<InnerCalls>,
 }
@@ -59,7 +59,7 @@
         Self {
             path,
             rate,
-            habit: CallerHabit::default(),
+            caller_policy: CallerPolicy::default(),
             inner: None,
         }
     }
@@ -67,12 +67,12 @@
 
 /// What callers do where there is no good answer.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CallerHabit {
+pub struct CallerPolicy {
     /// Times that they come back, when a refusal says or at once after a failure.
-    pub returns: u32,
+    pub retries: u32,
     /// Time after which they give up, over all their sends; they tell what is left of it. Absent: the
     /// route's own limit.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
 
 /// Calls that a run makes, all at once.
@@ -83,16 +83,16 @@
     /// How many.
     pub count: u32,
     /// When the run makes them.
-    pub moment: CallMoment,
+    pub timing: CallTiming,
 }
 
 /// When a run makes its calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallMoment {
+pub enum CallTiming {
     /// When it begins, beside its own work.
-    First,
+    AtStart,
     /// When its own work is done.
-    Last,
+    AtEnd,
 }
 
 /// What a model is made of.
@@ -109,12 +109,12 @@
     /// One-way time between nodes.
     pub link: Duration,
     /// Who chooses.
-    pub policy: ChoicePolicy,
+    pub policy: BalancingPolicy,
 }
 
 /// What became of the requests of a kind.
 #[derive(Debug, Clone, Default)]
-pub struct KindCount {
+pub struct KindStats {
     /// Sent by callers.
     pub sent: u64,
     /// Offered to targets' nodes.
@@ -137,15 +137,15 @@
     pub latencies: Vec<u64>,
 }
 
-impl KindCount {
+impl KindStats {
     /// How many were answered within a time.
-    pub fn within(&self, aim: Duration) -> usize {
+    pub fn count_within(&self, aim: Duration) -> usize {
         let in_time = |latency: &&u64| u128::from(**latency) <= aim.as_micros();
         self.latencies.iter().filter(in_time).count()
     }
 
     /// The time that this share of the good ones stayed under, in microseconds.
-    pub fn quantile(&self, share: f64) -> u64 {
+    pub fn latency_quantile(&self, share: f64) -> u64 {
         quantile(&self.latencies, share)
     }
 
--- a/crates/testkit/src/model/run.rs
+++ b/crates/testkit/src/model/run.rs
@@ -85,7 +85,7 @@
     settings: model::ModelSettings,
     phases: Vec<(Vec<model::CallKind>, Duration)>,
     phase: usize,
-    counts: Vec<Vec<model::KindCount>>,
+    counts: Vec<Vec<model::KindStats>>,
     /// Callers that come back, by the number of their next call.
     returning: IndexMap<u64, ModelCall>,
     now: time::MonotonicTime,
@@ -120,10 +120,10 @@
             let record = node::target(
                 &format!("target-{number}"),
                 target.service_name,
-                target.announced,
+                target.announced_slots,
             );
             for ingress in &mut ingresses {
-                ingress.hear(&identity, 1, vec![record.clone()]);
+                ingress.receive_record(&identity, 1, vec![record.clone()]);
             }
             let mut owner = node::NodeReducer::new(&name, DATA_CENTRE, &settings.entries);
             owner.announce(record);
@@ -180,7 +180,7 @@
     }
 
     /// Sends requests for a time, and waits until each has ended; returns what became of them.
-    pub fn run(&mut self, kinds: &[model::CallKind], span: Duration) -> Vec<model::KindCount> {
+    pub fn run(&mut self, kinds: &[model::CallKind], span: Duration) -> Vec<model::KindStats> {
         let mut counts = self.run_phases(vec![(kinds.to_vec(), span)]);
         counts.swap_remove(0)
     }
@@ -190,9 +190,9 @@
     pub fn run_phases(
         &mut self,
         phases: Vec<(Vec<model::CallKind>, Duration)>,
-    ) -> Vec<Vec<model::KindCount>> {
+    ) -> Vec<Vec<model::KindStats>> {
         let counts = |(kinds, _): &(Vec<model::CallKind>, Duration)| {
-            vec![model::KindCount::default(); kinds.len()]
+            vec![model::KindStats::default(); kinds.len()]
         };
         self.counts = phases.iter().map(counts).collect();
         self.end = self.now + phases.iter().map(|(_, span)| *span).sum();
@@ -244,7 +244,7 @@
         self.phases[self.phase].0[kind]
     }
 
-    fn count(&mut self, call: u64) -> &mut model::KindCount {
+    fn count(&mut self, call: u64) -> &mut model::KindStats {
         let record = &self.calls[&call];
         &mut self.counts[record.phase][record.kind]
     }
--- a/crates/testkit/src/model/run/callers.rs
+++ b/crates/testkit/src/model/run/callers.rs
@@ -27,7 +27,7 @@
             ingress,
             began: self.now,
             arrived: self.now,
-            returns_left: self.kind(kind).habit.returns,
+            returns_left: self.kind(kind).caller_policy.retries,
             parent: None,
         };
         self.counts[phase][kind].sent += 1;
@@ -61,7 +61,7 @@
         let kind = self.kind(call.kind);
         let left = |patience: Duration| patience.saturating_sub(self.now.since(call.began));
         let arrival = calls::CallArrival {
-            deadline_left: kind.habit.patience.map(left),
+            deadline_left: kind.caller_policy.timeout.map(left),
             ..node::arrival(number, kind.path)
         };
         self.ask_ingress(number, calls::CallEvent::Arrived(arrival));
@@ -69,7 +69,7 @@
 
     /// A caller without a good answer comes back, if it still does.
     pub(super) fn send_again(&mut self, mut call: ModelCall, room_in: Duration) {
-        let Some(patience) = self.kind(call.kind).habit.patience else {
+        let Some(patience) = self.kind(call.kind).caller_policy.timeout else {
             return;
         };
         let left = patience.saturating_sub(self.now.since(call.began));
@@ -131,19 +131,20 @@
 
     pub(super) fn choose(&mut self, ingress: usize, candidate: &routing::TargetCandidate) -> usize {
         match self.settings.policy {
-            model::ChoicePolicy::Reducer => {
+            model::BalancingPolicy::Reducer => {
                 let number = candidate.target.as_str().trim_start_matches("target-");
                 number.parse().expect("the model named it")
             }
-            model::ChoicePolicy::RoundRobin => {
+            model::BalancingPolicy::RoundRobin => {
                 self.turns[ingress] += 1;
                 (self.turns[ingress] + ingress) % self.targets.len()
             }
-            model::ChoicePolicy::LeastAnnounced => {
+            model::BalancingPolicy::LeastRequest => {
                 self.turns[ingress] += 1;
                 let count = self.targets.len();
                 let start = self.turns[ingress] + ingress;
-                let announced = |target: usize| f64::from(self.targets[target].settings.announced);
+                let announced =
+                    |target: usize| f64::from(self.targets[target].settings.announced_slots);
                 let own = &self.own[ingress];
                 (0..count)
                     .map(|offset| (start + offset) % count)
--- a/crates/testkit/src/model/run/owners.rs
+++ b/crates/testkit/src/model/run/owners.rs
@@ -55,7 +55,7 @@
             state.busy += 1;
             return self.serve(number);
         }
-        if state.waiting.len() < state.settings.queue {
+        if state.waiting.len() < state.settings.queue_capacity {
             state.waiting.push_back(number);
             return;
         }
@@ -67,13 +67,13 @@
         let record = &mut self.tries[&number];
         record.started = self.now;
         let (call, target, due) = (record.call, record.target, record.due);
-        let unit = self.targets[target].settings.service.as_secs_f64();
+        let unit = self.targets[target].settings.mean_run_time.as_secs_f64();
         let mean = unit * f64::from(record.offer.cost);
         self.count(call).runs += 1;
         let took = self.exponential(mean).min(due.since(self.now));
         self.plan(took, Happening::RunOver(number));
         let inner = self.kind(self.calls[&call].kind).inner;
-        if inner.is_some_and(|inner| inner.moment == model::CallMoment::First) {
+        if inner.is_some_and(|inner| inner.timing == model::CallTiming::AtStart) {
             self.call_inner(number);
         }
     }
@@ -109,7 +109,7 @@
         record.is_work_done = true;
         let call = record.call;
         let inner = self.kind(self.calls[&call].kind).inner;
-        if inner.is_some_and(|inner| inner.moment == model::CallMoment::Last) {
+        if inner.is_some_and(|inner| inner.timing == model::CallTiming::AtEnd) {
             self.call_inner(number);
         }
         self.end_run_if_done(number);
@@ -187,7 +187,7 @@
     pub(super) fn tick(&mut self) {
         for target in 0..self.targets.len() {
             self.targets[target].node.now = self.now;
-            let effects = self.targets[target].node.pass(Duration::ZERO);
+            let effects = self.targets[target].node.advance(Duration::ZERO);
             self.follow_owner(target, effects);
         }
         if self.now < self.end || !self.calls.is_empty() || !self.returning.is_empty() {
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -35,12 +35,12 @@
             state: reducer::EngineState::new(settings, None),
             now: time::MonotonicTime::default(),
         };
-        node.put(entries);
+        node.apply_entries(entries);
         node
     }
 
     /// Has a change of the catalogue come into force.
-    pub fn put(&mut self, entries: &Value) {
+    pub fn apply_entries(&mut self, entries: &Value) {
         let set = change::ChangeSet {
             put: serde_json::from_value(entries.clone()).expect("the test's entries are valid"),
             remove: Vec::new(),
@@ -58,13 +58,13 @@
 
     /// Takes an event of a call; returns the effects of calls.
     pub fn call(&mut self, event: calls::CallEvent) -> Vec<calls::CallEffect> {
-        of_calls(self.reduce(event::Event::Calls(event)))
+        call_effects(self.reduce(event::Event::Calls(event)))
     }
 
     /// Lets time pass; returns the effects of calls.
-    pub fn pass(&mut self, span: Duration) -> Vec<calls::CallEffect> {
+    pub fn advance(&mut self, span: Duration) -> Vec<calls::CallEffect> {
         self.now = self.now + span;
-        of_calls(self.reduce(event::Event::Tick))
+        call_effects(self.reduce(event::Event::Tick))
     }
 
     /// Has a target announce itself at this node.
@@ -80,7 +80,7 @@
     }
 
     /// Has a member tell of itself and its targets.
-    pub fn hear(
+    pub fn receive_record(
         &mut self,
         identity: &wire_membership::PeerIdentity,
         sequence: u64,
@@ -101,7 +101,7 @@
 }
 
 /// The effects of calls among all.
-pub fn of_calls(effects: Vec<event::Effect>) -> Vec<calls::CallEffect> {
+pub fn call_effects(effects: Vec<event::Effect>) -> Vec<calls::CallEffect> {
     let of_call = |effect| match effect {
         event::Effect::Calls(effect) => Some(effect),
         _ => None,
--- a/crates/testkit/src/reducers.rs
+++ b/crates/testkit/src/reducers.rs
@@ -31,7 +31,7 @@
 pub type ReasonBytes = IndexMap<message::ByteReason, (u64, u64)>;
 
 /// One reducer.
-pub struct FakeProcess {
+pub struct SimulatedProcess {
     /// Its state.
     pub state: reducer::EngineState,
     /// Whether it runs.
@@ -39,9 +39,9 @@
     /// What it has sent since the counts were cleared.
     pub sent: ReasonBytes,
     /// Largest message of gossip that it sent, in bytes.
-    pub largest_gossip: u64,
+    pub largest_gossip_bytes: u64,
     /// When it first had each version in force.
-    pub reached: IndexMap<ids::CatalogueVersion, Duration>,
+    pub in_force_at: IndexMap<ids::CatalogueVersion, Duration>,
     highest: ids::CatalogueVersion,
     events: u64,
     life: u64,
@@ -83,15 +83,15 @@
 /// A fleet of reducers.
 pub struct ReducerFleet {
     /// The processes by name.
-    pub processes: IndexMap<String, FakeProcess>,
+    pub processes: IndexMap<String, SimulatedProcess>,
     /// The catalogue that the control group has accepted.
     pub accepted: catalogue_state::CatalogueState,
     /// Tunables of processes that start.
     pub tunables: settings::EngineTunables,
     /// Share of messages that are lost.
-    pub lost_share: f64,
+    pub loss_rate: f64,
     /// Share of messages that come twice.
-    pub doubled_share: f64,
+    pub duplication_rate: f64,
     /// Whether frames are encoded and counted.
     pub counts_bytes: bool,
     names: IndexMap<SocketAddr, String>,
@@ -111,9 +111,9 @@
     }
 }
 
-impl std::fmt::Debug for FakeProcess {
+impl std::fmt::Debug for SimulatedProcess {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("FakeProcess").finish_non_exhaustive()
+        f.debug_struct("SimulatedProcess").finish_non_exhaustive()
     }
 }
 
@@ -124,8 +124,8 @@
             processes: IndexMap::new(),
             accepted: catalogue_state::CatalogueState::default(),
             tunables,
-            lost_share: 0.0,
-            doubled_share: 0.0,
+            loss_rate: 0.0,
+            duplication_rate: 0.0,
             counts_bytes: false,
             names: IndexMap::new(),
             controls: Vec::new(),
@@ -172,12 +172,12 @@
             is_node: !is_control,
             incarnation: ids::IncarnationNumber::default(),
         };
-        let process = FakeProcess {
+        let process = SimulatedProcess {
             state: self.fresh_state(identity),
             is_running: false,
             sent: IndexMap::new(),
-            largest_gossip: 0,
-            reached: IndexMap::new(),
+            largest_gossip_bytes: 0,
+            in_force_at: IndexMap::new(),
             highest: ids::CatalogueVersion::default(),
             events: 0,
             life: 0,
@@ -223,15 +223,16 @@
     }
 
     /// One process.
-    pub fn process(&mut self, name: &str) -> &mut FakeProcess {
+    pub fn process(&mut self, name: &str) -> &mut SimulatedProcess {
         let process = self.processes.get_mut(name);
         process.expect("tests name their own processes")
     }
 
     /// Names of the nodes that run.
     pub fn running_nodes(&self) -> Vec<String> {
-        let is_node =
-            |process: &FakeProcess| process.is_running && process.state.settings.identity.is_node;
+        let is_node = |process: &SimulatedProcess| {
+            process.is_running && process.state.settings.identity.is_node
+        };
         let nodes = self.processes.iter();
         nodes
             .filter(|(_, process)| is_node(process))
@@ -240,7 +241,7 @@
     }
 
     /// Sets which messages are swallowed, by sender and receiver; the links seem to stay open.
-    pub fn cut(
+    pub fn drop_messages(
         &mut self,
         cut: impl Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool + 'static,
     ) {
@@ -278,7 +279,7 @@
     }
 
     /// Gives a process an event now.
-    pub fn tell(&mut self, name: &str, event: event::Event) {
+    pub fn inject(&mut self, name: &str, event: event::Event) {
         let to = self.process(name).state.settings.identity.address;
         self.queue_at(self.now, to, None, Delivery::Event(Box::new(event)));
     }
@@ -311,7 +312,7 @@
     }
 
     /// Whether some processes have the last accepted version in force.
-    pub fn has_all(&self, names: &[String]) -> bool {
+    pub fn has_converged(&self, names: &[String]) -> bool {
         let version = self.accepted.version;
         names
             .iter()
@@ -394,7 +395,7 @@
             state.version
         );
         process.highest = state.version;
-        process.reached.insert(state.version, now);
+        process.in_force_at.insert(state.version, now);
         for route in state.routes() {
             let service = state.service(&route.service);
             assert!(service.is_some(), "{name}: route {} dangles", route.name);
@@ -416,10 +417,10 @@
             return self.queue_at(self.now + 2 * latency, sender.address, None, delivery);
         }
         let is_cut = (self.cut)(&sender, &receiver.state.settings.identity);
-        if is_cut || self.random.random_bool(self.lost_share) {
+        if is_cut || self.random.random_bool(self.loss_rate) {
             return;
         }
-        let times = 1 + u32::from(self.random.random_bool(self.doubled_share));
+        let times = 1 + u32::from(self.random.random_bool(self.duplication_rate));
         for _ in 0..times {
             let last = self.last_on_link.get(&(sender.address, to)).copied();
             let at = (self.now + latency).max(last.unwrap_or(0));
@@ -447,7 +448,7 @@
         *frames += 1;
         *sum += bytes;
         if reason == message::ByteReason::Gossip {
-            process.largest_gossip = process.largest_gossip.max(bytes);
+            process.largest_gossip_bytes = process.largest_gossip_bytes.max(bytes);
         }
     }
 }
--- a/crates/testkit/src/rollouts.rs
+++ b/crates/testkit/src/rollouts.rs
@@ -43,13 +43,13 @@
 
 /// A roll-out to play.
 #[derive(Debug, Clone, Copy)]
-pub struct RolloutScene {
+pub struct RolloutScenario {
     /// Seed of everything random.
     pub seed: u64,
     /// What is wrong with the new version.
     pub fault: VersionFault,
     /// Share of its runs that show it.
-    pub share: f64,
+    pub fault_share: f64,
     /// Targets of each version.
     pub targets: usize,
     /// Calls a second.
@@ -57,7 +57,7 @@
     /// Time from the order to its limit.
     pub within: Duration,
     /// Whether machines of both versions turn slow or fail, and calls of runs fail for all.
-    pub is_troubled: bool,
+    pub has_disturbances: bool,
 }
 
 /// What became of it.
@@ -70,9 +70,9 @@
     /// Runs of the service up to the limit, and those of them at the new version.
     pub runs: u64,
     /// Runs at the new version.
-    pub coming: u64,
+    pub new_version_runs: u64,
     /// Those of them with the fault.
-    pub bad: u64,
+    pub faulty_runs: u64,
 }
 
 /// A route of the mix.
@@ -108,7 +108,7 @@
 }
 
 struct ScenePlay<'a> {
-    scene: RolloutScene,
+    scene: RolloutScenario,
     judge: &'a mut dyn verdict::VersionJudge,
     random: ChaCha8Rng,
     present: Vec<SceneMachine>,
@@ -120,7 +120,7 @@
 }
 
 /// Plays a scene before a judge.
-pub fn play(scene: RolloutScene, judge: &mut dyn verdict::VersionJudge) -> RolloutOutcome {
+pub fn simulate(scene: RolloutScenario, judge: &mut dyn verdict::VersionJudge) -> RolloutOutcome {
     let mut random = ChaCha8Rng::seed_from_u64(scene.seed);
     let mut machines = || -> Vec<SceneMachine> {
         let machine = |_| SceneMachine::draw(&scene, &mut random);
@@ -132,8 +132,8 @@
         phase: rollout::RolloutPhase::Trial,
         at: Duration::ZERO,
         runs: 0,
-        coming: 0,
-        bad: 0,
+        new_version_runs: 0,
+        faulty_runs: 0,
     };
     let play = ScenePlay {
         scene,
@@ -149,10 +149,14 @@
 }
 
 /// A span of some seconds within the scene, with a probability.
-fn draw_trouble(scene: &RolloutScene, random: &mut ChaCha8Rng, share: f64) -> Option<(f64, f64)> {
+fn draw_trouble(
+    scene: &RolloutScenario,
+    random: &mut ChaCha8Rng,
+    share: f64,
+) -> Option<(f64, f64)> {
     let is_drawn = random.random_bool(share);
     let begin = random.random_range(0.0..scene.within.as_secs_f64());
-    (scene.is_troubled && is_drawn).then_some((begin, begin + 6.5))
+    (scene.has_disturbances && is_drawn).then_some((begin, begin + 6.5))
 }
 
 fn holds(span: Option<(f64, f64)>, at: f64) -> bool {
@@ -160,7 +164,7 @@
 }
 
 impl SceneMachine {
-    fn draw(scene: &RolloutScene, random: &mut ChaCha8Rng) -> Self {
+    fn draw(scene: &RolloutScenario, random: &mut ChaCha8Rng) -> Self {
         Self {
             speed: SPEEDS[random.random_range(0..SPEEDS.len())],
             fails: draw_trouble(scene, random, 0.14),
@@ -262,7 +266,7 @@
             let name = &self.names[place_of_route];
             self.outcome.runs += 1;
             if is_new {
-                self.outcome.coming += 1;
+                self.outcome.new_version_runs += 1;
                 let group = if is_canary {
                     place as u64
                 } else {
@@ -289,7 +293,7 @@
             None => self.present[place],
         };
         let is_bad = is_canary.is_some_and(|is_canary| self.shows_fault(at, route, is_canary));
-        self.outcome.bad += u64::from(is_bad);
+        self.outcome.faulty_runs += u64::from(is_bad);
         let is_slow = is_bad && self.scene.fault == VersionFault::Slow;
         let has_failed = is_bad && !is_slow
             || holds(machine.fails, at) && self.random.random_bool(0.4)
@@ -318,7 +322,7 @@
             VersionFault::Late => at >= 3.0,
             VersionFault::UnderLoad => is_canary,
         };
-        can_show && self.random.random_bool(self.scene.share)
+        can_show && self.random.random_bool(self.scene.fault_share)
     }
 
     /// A factor of mean one.
--- a/tests/all/crashing.rs
+++ b/tests/all/crashing.rs
@@ -34,7 +34,7 @@
             .body(Full::from(body))
             .expect("it is a request");
         let answer = fleet
-            .ask(node, "callers", request)
+            .send_request(node, "callers", request)
             .await
             .expect("an answer");
         let text = |name: &str| {
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -239,7 +239,7 @@
     let (_sender, mut connection) = opened.expect("the node speaks HTTP/2");
     // It is open once both sides have greeted; nobody reads it any more after that.
     drop(time::timeout(OPENING_TIME, &mut connection).await);
-    let stopped = time::timeout(wait::LONGEST_WAIT, fleet.stop("node-2")).await;
+    let stopped = time::timeout(wait::WAIT_TIMEOUT, fleet.stop("node-2")).await;
     assert_eq!(stopped, Ok(Some(0)));
     drop(connection);
 }
--- a/tests/all/failing_disk.rs
+++ b/tests/all/failing_disk.rs
@@ -44,7 +44,7 @@
     version = change_accepted(&fleet, last, version).await;
     std::fs::remove_dir(&obstacle).expect("it is empty");
     fleet.kill(&[emptied]).await;
-    fleet.empty_data(emptied);
+    fleet.delete_data(emptied);
     fleet.start(&[emptied], &[]).await;
     version = change_accepted(&fleet, last, version).await;
     fleet.wait_version(&CONTROLS, version).await;
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -98,7 +98,7 @@
 fn part(fleet: &fleet::Fleet, near: &[&str], far: &[&str], rule: proxy::FaultRule) {
     for one in near {
         for other in far {
-            fleet.set_pair(one, other, rule);
+            fleet.set_pair_rule(one, other, rule);
         }
     }
 }
--- a/tests/all/hygiene.rs
+++ b/tests/all/hygiene.rs
@@ -99,7 +99,7 @@
     };
     let _target = support::stand_in_with(&mut fleet, "node-2", "far", behaviour).await;
     support::wait_routed(&fleet, "node-1").await;
-    fleet.set_pair("node-1", "node-2", proxy::FaultRule::CutAfter(20_000));
+    fleet.set_pair_rule("node-1", "node-2", proxy::FaultRule::CutAfter(20_000));
     let callers = fleet.instance("node-1").addresses["callers"];
     let requests = "GET /vehicles/1 HTTP/1.1\r\nhost: a\r\n\r\n\
         GET /nowhere HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -80,7 +80,7 @@
 
 async fn get(fleet: &fleet::Fleet, path: &str) -> Option<Response<Bytes>> {
     let request = Request::get(path).body(Full::default()).ok()?;
-    fleet.ask("node-1", "callers", request).await
+    fleet.send_request("node-1", "callers", request).await
 }
 
 /// Keeps `callers` callers of each path asking, one call after another, until `count` were answered
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -116,7 +116,7 @@
             .header("hazeltiller-deadline-ms", DEADLINE_MS)
             .body(Full::from("certificate"))
             .expect("it is a request");
-        let Some(response) = self.fleet.ask(node, "callers", request).await else {
+        let Some(response) = self.fleet.send_request(node, "callers", request).await else {
             return Told::Nothing;
         };
         let text = |name: &str| {
@@ -228,13 +228,13 @@
     // Between the ingress node and the target's node.
     let told = scene
         .send_with("node-1", "link", async |fleet| {
-            fleet.set_pair("node-1", "node-2", proxy::FaultRule::Cut);
+            fleet.set_pair_rule("node-1", "node-2", proxy::FaultRule::Cut);
         })
         .await;
     assert_eq!(told, Told::refusal("HZ3016", "unknown"));
     scene
         .fleet
-        .set_pair("node-1", "node-2", proxy::FaultRule::Pass);
+        .set_pair_rule("node-1", "node-2", proxy::FaultRule::Pass);
     for node in NODES {
         let told = scene.send(node, "link").await;
         assert_eq!(told, Told::refusal("HZ3013", "unknown"), "through {node}");
@@ -330,7 +330,7 @@
     assert!(matches!(first, Told::Answer(_)), "{first:?}");
     for rule in [proxy::FaultRule::Cut, proxy::FaultRule::Silent] {
         for control in CONTROLS {
-            scene.fleet.set_pair("node-3", control, rule);
+            scene.fleet.set_pair_rule("node-3", control, rule);
         }
         let key = format!("cut-{rule:?}");
         for key in [key.as_str(), "before-cut"] {
@@ -340,7 +340,7 @@
         let free = Request::get("/vehicles/1").body(Full::default());
         let answer = scene
             .fleet
-            .ask("node-3", "callers", free.expect("a request"))
+            .send_request("node-3", "callers", free.expect("a request"))
             .await;
         assert_eq!(
             answer.expect("an answer").status(),
@@ -350,7 +350,7 @@
         for control in CONTROLS {
             scene
                 .fleet
-                .set_pair("node-3", control, proxy::FaultRule::Pass);
+                .set_pair_rule("node-3", control, proxy::FaultRule::Pass);
         }
         let told = wait::until("a resend once the cut is over", || async {
             let told = scene.send("node-3", &key).await;
@@ -385,7 +385,7 @@
     );
     // A control with an empty disk grants nothing, so a majority of old disks is still needed.
     scene.fleet.kill(&["control-1", "control-2"]).await;
-    scene.fleet.empty_data("control-1");
+    scene.fleet.delete_data("control-1");
     scene.fleet.start(&["control-1"], &[]).await;
     let told = scene.send("node-1", "empty-disk").await;
     assert_eq!(told, Told::refusal("HZ3013", "unknown"));
@@ -406,7 +406,7 @@
     let emptied = ["control-2", "control-3"];
     scene.fleet.kill(&emptied).await;
     for control in emptied {
-        scene.fleet.empty_data(control);
+        scene.fleet.delete_data(control);
         scene.fleet.instance(control).settings["bootstrap"] = json!(true);
     }
     scene.fleet.start(&emptied, &[]).await;
--- a/tests/all/parts.rs
+++ b/tests/all/parts.rs
@@ -53,7 +53,7 @@
 }
 
 async fn told(watch: &mut critical_tasks::TaskMonitor) -> critical_tasks::CriticalTask {
-    tokio::time::timeout(wait::LONGEST_WAIT, watch.ended())
+    tokio::time::timeout(wait::WAIT_TIMEOUT, watch.ended())
         .await
         .expect("an end is told")
 }
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -48,7 +48,7 @@
     let mut rest = Vec::new();
     let closing = stream.read_to_end(&mut rest);
     // An error is a reset, which closes it too.
-    let closed = tokio::time::timeout(wait::LONGEST_WAIT, closing).await;
+    let closed = tokio::time::timeout(wait::WAIT_TIMEOUT, closing).await;
     closed.is_ok()
 }
 
@@ -130,7 +130,7 @@
     assert!(status.is_some(), "the process goes on");
     let request = Request::get("/metrics").body(Full::default());
     let request = request.expect("the path is a URI");
-    let metrics = fleet.ask("control-1", "operators", request).await;
+    let metrics = fleet.send_request("control-1", "operators", request).await;
     let metrics = metrics.expect("it runs").into_body();
     let text = String::from_utf8_lossy(&metrics).into_owned();
     // Five that cannot be read, and one that said too little for too long.
--- a/tests/all/replication.rs
+++ b/tests/all/replication.rs
@@ -112,7 +112,7 @@
     let reporter = control_group::wait_line(&fleet, &told("voter_silent", 2)).await;
     let request = Request::get("/metrics").body(Full::default());
     let request = request.expect("the path is a URI");
-    let answer = fleet.ask(reporter, "operators", request).await;
+    let answer = fleet.send_request(reporter, "operators", request).await;
     let metrics = answer.expect("it runs").into_body();
     let metrics = str::from_utf8(&metrics).expect("metrics are text");
     assert!(metrics.contains(r#"hazeltiller_voters{state="silent"} 1"#));
@@ -206,7 +206,7 @@
     let kept = control_group::leader(&fleet).await;
     let others: Vec<&str> = CONTROLS.into_iter().filter(|name| *name != kept).collect();
     fleet.kill(&[others[0]]).await;
-    fleet.empty_data(others[0]);
+    fleet.delete_data(others[0]);
     // The flag is of no use to it: the group is there already.
     fleet.start(&[others[0]], &["--bootstrap"]).await;
     fleet.wait_version(&CONTROLS, 1).await;
@@ -267,7 +267,9 @@
         }
         let request = request.body(Full::from(change.to_string()));
         let request = request.expect("the path is a URI");
-        let response = fleet.ask("control-2", "operators", request).await?;
+        let response = fleet
+            .send_request("control-2", "operators", request)
+            .await?;
         Some(response.status().as_u16())
     };
     let mut first = support::first_change();
--- a/tests/all/seeing.rs
+++ b/tests/all/seeing.rs
@@ -76,7 +76,7 @@
     let _target = support::stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
     let answer = wait::until("an answer through the other node", || async {
         let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
-        let response = fleet.ask("node-1", "callers", request).await?;
+        let response = fleet.send_request("node-1", "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(response)
     })
     .await;
@@ -107,7 +107,7 @@
     let _target = support::stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
     let ask = |path: &'static str| {
         let request = Request::get(path).body(Full::default());
-        fleet.ask("node-1", "callers", request.expect("it is a path"))
+        fleet.send_request("node-1", "callers", request.expect("it is a path"))
     };
     wait::until("an answer through the other node", || async {
         let response = ask("/vehicles/7").await?;
@@ -151,7 +151,7 @@
     for (name, line) in table {
         wait::until(line, || async {
             let request = Request::get("/metrics").body(Full::default()).ok()?;
-            let response = fleet.ask(name, "operators", request).await?;
+            let response = fleet.send_request(name, "operators", request).await?;
             let text = String::from_utf8(response.body().to_vec()).ok()?;
             for head in text.lines().filter(|line| line.starts_with("# HELP ")) {
                 let named = head.split(' ').nth(2).expect("a name follows");
@@ -170,7 +170,7 @@
         .header("hazeltiller-request", "caller-7")
         .body(Full::default());
     let request = request.expect("the path is a URI");
-    let answer = fleet.ask("node-1", "callers", request).await;
+    let answer = fleet.send_request("node-1", "callers", request).await;
     let answer = answer.expect("a refusal is an answer");
     assert_eq!(answer.headers()["hazeltiller-request"], "caller-7");
     let (events, _) = timeline(&mut fleet, &["--request", "caller-7"]);
@@ -216,7 +216,7 @@
     });
     wait::until("a failed run", || async {
         let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
-        let response = fleet.ask("node-1", "callers", request).await?;
+        let response = fleet.send_request("node-1", "callers", request).await?;
         (response.status() == StatusCode::INTERNAL_SERVER_ERROR).then_some(())
     })
     .await;
@@ -239,7 +239,7 @@
     let path = format!("/vehicles/{}", "x".repeat(10_000));
     let request = Request::get(path).body(Full::default());
     let request = request.expect("it is a path");
-    let answer = fleet.ask("node-1", "callers", request).await;
+    let answer = fleet.send_request("node-1", "callers", request).await;
     assert_eq!(
         answer.expect("the node answers").status(),
         StatusCode::SERVICE_UNAVAILABLE
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -255,10 +255,10 @@
         if one == other {
             return;
         }
-        self.fleet.set_pair(one, other, rule);
+        self.fleet.set_pair_rule(one, other, rule);
         time::sleep(self.pause()).await;
         self.change().await;
-        self.fleet.set_pair(one, other, proxy::FaultRule::Pass);
+        self.fleet.set_pair_rule(one, other, proxy::FaultRule::Pass);
     }
 
     /// The disk of a control refuses to write aside while changes come, for a time.
@@ -281,7 +281,7 @@
         let control = self.pick(&CONTROLS);
         self.wait_whole().await;
         self.fleet.kill(&[control]).await;
-        self.fleet.empty_data(control);
+        self.fleet.delete_data(control);
         self.fleet.instance(control).settings["bootstrap"] = json!(false);
         time::sleep(self.pause()).await;
         self.fleet.start(&[control], &[]).await;
--- a/tests/all/streaming.rs
+++ b/tests/all/streaming.rs
@@ -226,7 +226,7 @@
                 .then_some(())
         })
         .await;
-        let ended = time::timeout(wait::LONGEST_WAIT, silent.ended.notified()).await;
+        let ended = time::timeout(wait::WAIT_TIMEOUT, silent.ended.notified()).await;
         ended.expect("the target's connection ends when its caller goes");
     }
 }
@@ -245,7 +245,7 @@
                 .header("hazeltiller-deadline-ms", "300")
                 .body(Full::default())
                 .ok()?;
-            let answer = fleet.ask(node, "callers", request).await?;
+            let answer = fleet.send_request(node, "callers", request).await?;
             (answer.status() != 503).then_some(answer)
         })
         .await;
@@ -299,7 +299,7 @@
     support::wait_routed(&fleet, "node-1").await;
     let calls = (0..12).map(|number| {
         let request = Request::get(format!("/vehicles/{number}")).body(Full::default());
-        fleet.ask("node-1", "callers", request.expect("it is a request"))
+        fleet.send_request("node-1", "callers", request.expect("it is a request"))
     });
     for answer in futures_util::future::join_all(calls).await {
         assert!(answer.is_some(), "each caller is answered");
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -99,7 +99,7 @@
 pub(crate) async fn wait_answer(fleet: &fleet::Fleet, path: &str) {
     wait::until("a whole answer", || async {
         let request = Request::get(path).body(Full::default()).ok()?;
-        let response = fleet.ask("node-1", "callers", request).await?;
+        let response = fleet.send_request("node-1", "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(())
     })
     .await;
@@ -109,7 +109,7 @@
 pub(crate) async fn wait_routed(fleet: &fleet::Fleet, node: &str) {
     wait::until("a target behind the node", || async {
         let request = Request::get("/vehicles/ready").body(Full::default()).ok()?;
-        let response = fleet.ask(node, "callers", request).await?;
+        let response = fleet.send_request(node, "callers", request).await?;
         (response.status() != StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
     .await;
--- a/tests/all/what_fails.rs
+++ b/tests/all/what_fails.rs
@@ -85,7 +85,7 @@
 async fn wait_answer(fleet: &fleet::Fleet, node: &str) {
     wait::until(&format!("an answer through {node}"), || async {
         let request = Request::get("/vehicles/1").body(Full::default()).ok()?;
-        let response = fleet.ask(node, "callers", request).await?;
+        let response = fleet.send_request(node, "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(())
     })
     .await;
@@ -256,7 +256,7 @@
     let set_cut = |fleet: &fleet::Fleet, rule| {
         for one in BRASOV {
             for other in SIBIU {
-                fleet.set_pair(one, other, rule);
+                fleet.set_pair_rule(one, other, rule);
             }
         }
     };
--- a/tests/all/whole_path.rs
+++ b/tests/all/whole_path.rs
@@ -36,7 +36,7 @@
         let request = Request::post("/certificates/7")
             .body(Full::from("one body"))
             .ok()?;
-        let response = fleet.ask("node-1", "callers", request).await?;
+        let response = fleet.send_request("node-1", "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(response)
     })
     .await;
