--- a/crates/daemon/src/byte_counts.rs
+++ b/crates/daemon/src/byte_counts.rs
@@ -1,7 +1,7 @@
-//! Control bytes by link and reason, as frames without the transport's own overhead.
+//! Counts of the bytes exchanged with other processes, by link and reason.
 //!
-//! A frame counts as sent once its link has taken it; one that is lost with a breaking link was
-//! paid for all the same.
+//! The counts cover whole frames, without the overhead of the transport. A frame counts as sent
+//! once it is queued on its link, even if the link breaks before it is delivered.
 
 use std::{
     net::SocketAddr,
@@ -12,15 +12,16 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-/// Links that are counted one by one; the least used is summed into the others beyond that.
-const COUNTED_LINKS: usize = 256;
+/// Number of links with counts of their own. Beyond it, the counts of the link with the fewest
+/// bytes are merged into a common remainder.
+const MAX_COUNTED_LINKS: usize = 256;
 
 /// Frames and bytes of one reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct ByteCount {
-    /// Frames.
+    /// Number of frames.
     pub frames: u64,
-    /// Bytes.
+    /// Number of bytes.
     pub bytes: u64,
 }
 
@@ -36,47 +37,56 @@
 #[derive(Debug, Default)]
 struct CountTable {
     sent: IndexMap<SocketAddr, ReasonCounts>,
-    sent_elsewhere: ReasonCounts,
+    sent_remainder: ReasonCounts,
     received: ReasonCounts,
 }
 
-/// The counts of a process, shared by its links.
+/// The counts of a process, shared by its links and listeners.
 #[derive(Debug, Clone, Default)]
 pub struct ByteCounts {
     table: Arc<Mutex<CountTable>>,
 }
 
-/// Counts summed by reason.
+/// Totals by reason.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct ByteSummary {
-    /// What was sent.
+    /// Frames sent.
     pub sent: IndexMap<&'static str, ByteCount>,
-    /// What was received.
+    /// Frames received.
     pub received: IndexMap<&'static str, ByteCount>,
 }
 
 impl ByteCounts {
-    /// Counts a frame that goes out.
+    /// Counts a frame that is sent.
     pub fn sent(&self, to: SocketAddr, reason: message::ByteReason, size: usize) {
-        let mut table = self.table.lock().expect("no holder of the lock panics");
-        if !table.sent.contains_key(&to) && table.sent.len() >= COUNTED_LINKS {
-            drop_least_used(&mut table);
+        let mut table = self
+            .table
+            .lock()
+            .expect("no thread panics while it holds the lock");
+        if !table.sent.contains_key(&to) && table.sent.len() >= MAX_COUNTED_LINKS {
+            evict_smallest(&mut table);
         }
         let counts = table.sent.entry(to).or_default();
         counts.entry(reason.word()).or_default().add(1, size as u64);
     }
 
-    /// Counts a frame that came in.
+    /// Counts a frame that has been received.
     pub fn received(&self, reason: message::ByteReason, size: usize) {
-        let mut table = self.table.lock().expect("no holder of the lock panics");
+        let mut table = self
+            .table
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let count = table.received.entry(reason.word()).or_default();
         count.add(1, size as u64);
     }
 
-    /// Sums by reason.
+    /// Returns the totals by reason.
     pub fn summary(&self) -> ByteSummary {
-        let table = self.table.lock().expect("no holder of the lock panics");
-        let mut sent = table.sent_elsewhere.clone();
+        let table = self
+            .table
+            .lock()
+            .expect("no thread panics while it holds the lock");
+        let mut sent = table.sent_remainder.clone();
         for counts in table.sent.values() {
             merge(&mut sent, counts);
         }
@@ -84,22 +94,25 @@
         ByteSummary { sent, received }
     }
 
-    /// What was sent on each link, by reason.
+    /// Returns the counts of frames sent on each link, by reason.
     pub fn links(&self) -> Vec<(SocketAddr, IndexMap<&'static str, ByteCount>)> {
-        let table = self.table.lock().expect("no holder of the lock panics");
+        let table = self
+            .table
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let links = table.sent.iter();
         links.map(|(to, counts)| (*to, counts.clone())).collect()
     }
 }
 
-fn drop_least_used(table: &mut CountTable) {
+fn evict_smallest(table: &mut CountTable) {
     let total = |counts: &ReasonCounts| counts.values().map(|count| count.bytes).sum::<u64>();
-    let least = table.sent.iter().min_by_key(|(_, counts)| total(counts));
-    let Some(address) = least.map(|(address, _)| *address) else {
+    let smallest = table.sent.iter().min_by_key(|(_, counts)| total(counts));
+    let Some(address) = smallest.map(|(address, _)| *address) else {
         return;
     };
     if let Some(counts) = table.sent.swap_remove(&address) {
-        merge(&mut table.sent_elsewhere, &counts);
+        merge(&mut table.sent_remainder, &counts);
     }
 }
 
--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -1,4 +1,4 @@
-//! What is read off the state when metrics are scraped.
+//! Sets gauges from the state of the reducer when metrics are scraped.
 
 use hazeltiller_engine::{admission, dissemination::convergence, reducer, replication};
 
@@ -6,15 +6,15 @@
 
 const NO_LABELS: [&str; 0] = [];
 
-/// Sets every gauge from the state.
+/// Sets all gauges from the state.
 ///
-/// Gauges by name are cleared first, so that what is gone leaves no figure behind.
+/// Gauges with labels are cleared first, so that no values of removed targets or members remain.
 pub fn update(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
-    read_targets(state, metrics);
-    read_catalogue(state, metrics);
-    read_members(state, metrics);
-    read_group(state, metrics);
-    read_rollouts(state, metrics);
+    update_targets(state, metrics);
+    update_catalogue(state, metrics);
+    update_members(state, metrics);
+    update_group(state, metrics);
+    update_rollouts(state, metrics);
     metrics.retry_budget.reset();
     for (service, _class, budget) in state.retry.budgets() {
         let gauge = metrics.retry_budget.with_label_values(&[service.as_str()]);
@@ -22,7 +22,7 @@
     }
 }
 
-fn read_targets(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
+fn update_targets(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
     metrics.running.reset();
     metrics.queued.reset();
     metrics.slots.reset();
@@ -39,17 +39,20 @@
     metrics.targets.reset();
     for record in state.membership.present() {
         for target in &record.targets {
-            let word = serde_json::to_value(target.state).expect("a state is a word");
-            let word = word.as_str().expect("a state is a word");
-            let labels = [target.service.as_str(), word];
+            let encoded =
+                serde_json::to_value(target.state).expect("a target state is encoded as a string");
+            let label = encoded
+                .as_str()
+                .expect("a target state is encoded as a string");
+            let labels = [target.service.as_str(), label];
             metrics.targets.with_label_values(&labels).inc();
         }
     }
 }
 
-fn read_catalogue(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
+fn update_catalogue(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
     let version = state.dissemination.version();
-    let gauge = metrics.version.with_label_values(&NO_LABELS);
+    let gauge = metrics.catalogue_version.with_label_values(&NO_LABELS);
     gauge.set(version.0 as i64);
     if state.replication.is_none() {
         return;
@@ -63,50 +66,50 @@
     in_force.set(view.nodes_in_force as i64);
     metrics.convergence.reset();
     if let Some((accepted, everywhere)) = view.accepted_at_ms.zip(view.in_force_everywhere_at_ms) {
-        let took = metrics.convergence.with_label_values(&NO_LABELS);
-        took.set(everywhere.saturating_sub(accepted) as i64);
+        let duration_ms = metrics.convergence.with_label_values(&NO_LABELS);
+        duration_ms.set(everywhere.saturating_sub(accepted) as i64);
     }
 }
 
-fn read_members(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
+fn update_members(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
     metrics.members.reset();
     for record in state.membership.present() {
         let name = &record.identity.instance;
-        let word = if *name == state.settings.identity.instance {
+        let label = if *name == state.settings.identity.instance {
             "self"
         } else {
             state.membership.reachability(name).word()
         };
-        metrics.members.with_label_values(&[word]).inc();
+        metrics.members.with_label_values(&[label]).inc();
     }
 }
 
-fn read_group(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
+fn update_group(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
     let Some(view) = replication::GroupView::of(state) else {
         return;
     };
-    let own = state.settings.identity.address;
-    let term = metrics.term.with_label_values(&NO_LABELS);
+    let own_address = state.settings.identity.address;
+    let term = metrics.leader_term.with_label_values(&NO_LABELS);
     term.set(view.term.0 as i64);
     let is_leader = metrics.is_leader.with_label_values(&NO_LABELS);
-    is_leader.set(i64::from(view.leader == Some(own)));
+    is_leader.set(i64::from(view.leader == Some(own_address)));
     let has_failed = metrics.store_failed.with_label_values(&NO_LABELS);
     has_failed.set(i64::from(view.has_failed));
     metrics.voters.reset();
     if view.role == replication::LEADER_ROLE {
         let silent = view.members.iter().filter(|member| member.is_silent());
-        for (word, count) in [("alive", view.alive_voters()), ("silent", silent.count())] {
-            let gauge = metrics.voters.with_label_values(&[word]);
+        for (label, count) in [("alive", view.alive_voters()), ("silent", silent.count())] {
+            let gauge = metrics.voters.with_label_values(&[label]);
             gauge.set(count as i64);
         }
     }
-    for (word, position) in [("last", view.last), ("committed", view.commit)] {
-        let gauge = metrics.log_position.with_label_values(&[word]);
+    for (label, position) in [("last", view.last), ("committed", view.commit)] {
+        let gauge = metrics.log_position.with_label_values(&[label]);
         gauge.set(position.0 as i64);
     }
 }
 
-fn read_rollouts(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
+fn update_rollouts(state: &reducer::EngineState, metrics: &metrics::ProcessMetrics) {
     metrics.rollout_phase.reset();
     for entry in state.dissemination.in_force.rollouts() {
         let labels = [entry.name.as_str(), entry.to.as_str(), entry.phase.word()];
@@ -115,8 +118,8 @@
     metrics.rollout_runs.reset();
     for (service, version, runs) in state.rollout.tallies.iter() {
         let version = version.map_or("", |version| version.as_str());
-        let good = runs.answered - runs.failed;
-        for (result, count) in [("answered", good), ("failed", runs.failed)] {
+        let successful = runs.answered - runs.failed;
+        for (result, count) in [("answered", successful), ("failed", runs.failed)] {
             let labels = [service.as_str(), version, result];
             let gauge = metrics.rollout_runs.with_label_values(&labels);
             gauge.add(i64::from(count));
@@ -124,7 +127,7 @@
     }
 }
 
-/// Sets the counts of bytes, which are kept elsewhere.
+/// Sets the byte counters from the counts of the links and listeners.
 pub fn update_byte_counters(counts: &byte_counts::ByteCounts, metrics: &metrics::ProcessMetrics) {
     metrics.sent_bytes.reset();
     for (peer, reasons) in counts.links() {
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,9 +1,9 @@
-//! The log: one JSON object a line, on standard output or in a file.
+//! The log, with one JSON object per line, on standard output or in a file.
 //!
-//! Lines go to a thread of their own over a queue of fixed length. A full queue drops the line and
-//! counts it, so that whoever reads the output too slowly, or not at all, holds up no request. What
-//! the time line notes is logged from the same typed event; other messages come through the `log`
-//! facade and get the kind `message`.
+//! Lines are written by a separate thread that reads from a bounded queue. When the queue is full,
+//! lines are dropped and counted, so that a slow or stalled reader of the output never delays
+//! requests. Events of the timeline are logged in their typed form; other messages come through the
+//! `log` facade and have the kind `message`.
 
 use std::{
     fs::OpenOptions,
@@ -20,32 +20,35 @@
 
 use crate::settings;
 
-/// Lines that wait for the writer: some seconds of a busy process at a reader that pauses.
-const WAITING_LINES: usize = 8192;
-/// Bytes that are written at once, where so many wait: what a pipe takes whole or not at all. With larger
-/// writes a reader of several processes found lines of one in the midst of another's, 38 of 68,000.
-const WRITE_SIZE: usize = 4096;
-/// Longest line; one that is longer would be cut, so that a note of it is written in its place.
-const LONGEST_LINE: usize = WRITE_SIZE;
-/// Lines dropped between two lines that say so.
-const REPORT_EVERY: u64 = 1000;
-/// What messages of the project's own crates begin with; those of libraries are left out.
-const OWN_TARGETS: &str = "hazeltiller";
+/// Capacity of the queue of lines: holds what a busy process logs in the few seconds of a reader's
+/// pause.
+const QUEUE_CAPACITY_LINES: usize = 8192;
+/// Largest single write, in bytes: the size up to which writes to a pipe are atomic. With larger
+/// writes the lines of processes that shared a pipe were interleaved, 38 of 68,000.
+const MAX_WRITE_BYTES: usize = 4096;
+/// Largest line, in bytes. A longer one could be interleaved with others, so a line that reports
+/// its size is written instead.
+const MAX_LINE_BYTES: usize = MAX_WRITE_BYTES;
+/// Number of dropped lines after which they are reported.
+const DROP_REPORT_INTERVAL: u64 = 1000;
+/// Prefix of the log targets of the project's crates. Messages of libraries are discarded.
+const LOG_TARGET_PREFIX: &str = "hazeltiller";
 
 /// The log of the process.
 #[derive(Debug)]
 struct ProcessLog {
     writer: Mutex<non_blocking::NonBlocking>,
-    errors: non_blocking::ErrorCounter,
-    reported: AtomicU64,
-    sample: AtomicU64,
-    /// Ends the writer, after what waits, with the process.
+    drop_counter: non_blocking::ErrorCounter,
+    /// Number of dropped lines at the last report.
+    reported_drops: AtomicU64,
+    sample_interval: AtomicU64,
+    /// Flushes the queue and stops the writer when dropped.
     guard: Mutex<Option<non_blocking::WorkerGuard>>,
 }
 
 static LOG: OnceLock<ProcessLog> = OnceLock::new();
 
-/// A message that is no event of the time line.
+/// A message that is not an event of the timeline.
 #[derive(Debug, Serialize)]
 struct MessageLine<'a> {
     at_ms: u64,
@@ -55,7 +58,7 @@
     message: String,
 }
 
-/// Stands in for a line that is too long.
+/// Replaces a line that is too long.
 #[derive(Debug, Serialize)]
 struct OversizeLine {
     at_ms: u64,
@@ -64,7 +67,7 @@
     bytes: usize,
 }
 
-/// Says that lines were left out.
+/// Reports that lines were dropped.
 #[derive(Debug, Serialize)]
 struct DroppedLine {
     at_ms: u64,
@@ -73,13 +76,13 @@
     count: u64,
 }
 
-/// Hands messages of the `log` facade on.
+/// Writes the messages of the `log` facade to the log.
 #[derive(Debug)]
 struct MessageLogger;
 
 impl log::Log for MessageLogger {
     fn enabled(&self, metadata: &log::Metadata) -> bool {
-        metadata.target().starts_with(OWN_TARGETS)
+        metadata.target().starts_with(LOG_TARGET_PREFIX)
     }
 
     fn log(&self, record: &log::Record) {
@@ -88,7 +91,7 @@
         }
         write(&MessageLine {
             at_ms: time::WallTime::now().0,
-            level: level_word(record.level()),
+            level: level_name(record.level()),
             kind: "message",
             module: record.target(),
             message: record.args().to_string(),
@@ -98,8 +101,8 @@
     fn flush(&self) {}
 }
 
-/// The word of a level in a line.
-pub fn level_word(level: log::Level) -> &'static str {
+/// Returns the name of a level as it is logged.
+pub fn level_name(level: log::Level) -> &'static str {
     match level {
         log::Level::Error => "error",
         log::Level::Warn => "warn",
@@ -109,74 +112,78 @@
     }
 }
 
-/// Starts the log; a second start in one process is without effect.
+/// Starts the log. Later calls in the same process only set the level.
 pub fn start(settings: &settings::LogSettings) -> std::io::Result<()> {
     let output: Box<dyn Write + Send> = match &settings.file {
         Some(path) => Box::new(OpenOptions::new().create(true).append(true).open(path)?),
         None => Box::new(std::io::stdout()),
     };
     let (writer, guard) = non_blocking::NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(QUEUE_CAPACITY_LINES)
         .lossy(true)
-        .finish(BufWriter::with_capacity(WRITE_SIZE, output));
+        .finish(BufWriter::with_capacity(MAX_WRITE_BYTES, output));
     let log = ProcessLog {
-        errors: writer.error_counter(),
+        drop_counter: writer.error_counter(),
         writer: Mutex::new(writer),
-        reported: AtomicU64::new(0),
-        sample: AtomicU64::new(settings.sample),
+        reported_drops: AtomicU64::new(0),
+        sample_interval: AtomicU64::new(settings.sample),
         guard: Mutex::new(Some(guard)),
     };
     if LOG.set(log).is_ok() {
-        // Only a second logger is refused, and the first one goes on.
+        // This fails only if a logger is already set, which then stays in use.
         drop(log::set_logger(&MessageLogger));
     }
     set_level(settings);
     Ok(())
 }
 
-/// Sets the least important level that is logged, and the share of requests.
+/// Sets the least severe level that is logged, and the sampling of successful requests.
 pub fn set_level(settings: &settings::LogSettings) {
     let level = settings.level.parse().unwrap_or(log::LevelFilter::Info);
     log::set_max_level(level);
     if let Some(log) = LOG.get() {
-        log.sample.store(settings.sample, Ordering::Relaxed);
+        log.sample_interval
+            .store(settings.sample, Ordering::Relaxed);
     }
 }
 
-/// One of how many requests that ended well is logged; 0 for none.
-pub fn sample() -> u64 {
+/// Returns the sampling of successful requests: one of this many is logged, none if 0.
+pub fn sample_interval() -> u64 {
     LOG.get()
-        .map_or(0, |log| log.sample.load(Ordering::Relaxed))
+        .map_or(0, |log| log.sample_interval.load(Ordering::Relaxed))
 }
 
-/// Writes a line, or counts it as dropped.
+/// Queues a line, or counts it as dropped if the queue is full.
 pub fn write<T: Serialize>(line: &T) {
     let Some(log) = LOG.get() else {
         return;
     };
     let text = encode(line);
-    let mut writer = log.writer.lock().expect("no holder of the lock panics");
-    // A lossy writer takes every line; what it cannot keep it counts.
+    let mut writer = log
+        .writer
+        .lock()
+        .expect("no thread panics while it holds the lock");
+    // The writer is lossy: instead of failing it counts the lines that it drops.
     drop(writer.write_all(&text));
-    let dropped = log.errors.dropped_lines() as u64;
-    let reported = log.reported.load(Ordering::Relaxed);
-    if dropped >= reported + REPORT_EVERY {
-        log.reported.store(dropped, Ordering::Relaxed);
+    let dropped = log.drop_counter.dropped_lines() as u64;
+    let reported_drops = log.reported_drops.load(Ordering::Relaxed);
+    if dropped >= reported_drops + DROP_REPORT_INTERVAL {
+        log.reported_drops.store(dropped, Ordering::Relaxed);
         let line = DroppedLine {
             at_ms: time::WallTime::now().0,
             level: "warn",
             kind: "lines_dropped",
-            count: dropped - reported,
+            count: dropped - reported_drops,
         };
         drop(writer.write_all(&encode(&line)));
     }
 }
 
-/// A line with its end, or the note that stands in for one that is too long.
+/// Encodes a line with its line break, or its replacement if it is too long.
 fn encode<T: Serialize>(line: &T) -> Vec<u8> {
-    let mut text = serde_json::to_vec(line).expect("lines have only text keys");
+    let mut text = serde_json::to_vec(line).expect("lines have only string keys");
     text.push(b'\n');
-    if text.len() <= LONGEST_LINE {
+    if text.len() <= MAX_LINE_BYTES {
         return text;
     }
     encode(&OversizeLine {
@@ -187,13 +194,13 @@
     })
 }
 
-/// Writes what waits and ends the log; called once, when the process ends.
+/// Flushes the queue and ends the log. Called once, when the process exits.
 pub fn finish() {
     if let Some(log) = LOG.get() {
         drop(
             log.guard
                 .lock()
-                .expect("no holder of the lock panics")
+                .expect("no thread panics while it holds the lock")
                 .take(),
         );
     }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,7 +1,8 @@
-//! The metrics of this process, one registry, names `hazeltiller_*`.
+//! The Prometheus metrics of this process.
 //!
-//! One table gives name, labels and meaning of each: docs/METRICS.md is printed from it. What
-//! happens is counted as it passes; what is, such as queues, is read off the state at each scrape.
+//! One table defines the name, labels and description of each metric, and docs/METRICS.md is
+//! generated from it. Counters and histograms are updated as events occur; gauges, such as queue
+//! lengths, are set from the state at each scrape.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,52 +12,52 @@
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// Bounds of histograms of calls, in seconds.
-const CALL_BUCKETS: [f64; 17] = [
+/// Upper bounds of the histogram buckets, in seconds.
+const LATENCY_BUCKETS_S: [f64; 17] = [
     0.000_25, 0.000_5, 0.001, 0.002, 0.003, 0.005, 0.0075, 0.01, 0.02, 0.035, 0.05, 0.1, 0.25, 0.5,
     1.0, 2.5, 10.0,
 ];
 
-/// One metric as it is documented.
+/// Documentation of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MetricRow {
     /// Name.
     pub name: &'static str,
     /// `counter`, `gauge` or `histogram`.
-    pub form: &'static str,
+    pub metric_type: &'static str,
     /// Labels.
     pub labels: &'static [&'static str],
-    /// What it tells.
+    /// Description.
     pub doc: &'static str,
 }
 
 macro_rules! metrics {
-    ($($(#[doc = $doc:literal])+ $field:ident: $form:ident $name:literal $labels:expr;)*) => {
-        /// Every metric of a process; a copy shares the figures.
+    ($($(#[doc = $doc:literal])+ $field:ident: $metric_type:ident $name:literal $labels:expr;)*) => {
+        /// All metrics of a process. Clones share the values.
         #[derive(Debug, Clone)]
         pub struct ProcessMetrics {
             registry: Registry,
-            $($(#[doc = $doc])+ pub $field: metrics!(@type $form),)*
+            $($(#[doc = $doc])+ pub $field: metrics!(@type $metric_type),)*
         }
 
         impl Default for ProcessMetrics {
             fn default() -> Self {
                 let registry = Registry::new();
-                $(let $field = metrics!(@make $form $name, $labels, concat!($($doc),+));)*
+                $(let $field = metrics!(@make $metric_type $name, $labels, concat!($($doc),+));)*
                 $(
                     let metric = Box::new($field.clone());
-                    registry.register(metric).expect("each name stands in the table once");
+                    registry.register(metric).expect("metric names in the table are unique");
                 )*
                 Self { registry, $($field,)* }
             }
         }
 
         impl ProcessMetrics {
-            /// Every metric as it is documented, in order.
+            /// Returns the documentation of all metrics, in the order of the table.
             pub fn rows() -> Vec<MetricRow> {
                 vec![$(MetricRow {
                     name: $name,
-                    form: stringify!($form),
+                    metric_type: stringify!($metric_type),
                     labels: &$labels,
                     doc: concat!($($doc),+).trim_ascii(),
                 },)*]
@@ -68,18 +69,18 @@
     (@type histogram) => { HistogramVec };
     (@make counter $name:literal, $labels:expr, $doc:expr) => {
         IntCounterVec::new(Opts::new($name, $doc), &$labels)
-            .expect("the table holds sound names")
+            .expect("metric and label names in the table are valid")
     };
     (@make gauge $name:literal, $labels:expr, $doc:expr) => {
         IntGaugeVec::new(Opts::new($name, $doc), &$labels)
-            .expect("the table holds sound names")
+            .expect("metric and label names in the table are valid")
     };
     (@make histogram $name:literal, $labels:expr, $doc:expr) => {
         HistogramVec::new(
-            HistogramOpts::new($name, $doc).buckets(CALL_BUCKETS.to_vec()),
+            HistogramOpts::new($name, $doc).buckets(LATENCY_BUCKETS_S.to_vec()),
             &$labels,
         )
-        .expect("the table holds sound names")
+        .expect("metric and label names in the table are valid")
     };
 }
 
@@ -91,7 +92,7 @@
     /// Refusals by result code, made here as a caller's node (ingress) or as a target's (owner).
     refusals: counter "hazeltiller_refusals_total" ["code", "side"];
     /// Tries that calls made.
-    tries: counter "hazeltiller_tries_total" ["service"];
+    attempts: counter "hazeltiller_tries_total" ["service"];
     /// Tries beyond the first of a call.
     retries: counter "hazeltiller_retries_total" ["service"];
     /// Second tries that the budget of a service still allows.
@@ -117,7 +118,7 @@
     /// 1 for the phase that a service's latest roll-out is in here.
     rollout_phase: gauge "hazeltiller_rollout_phase" ["service", "version", "phase"];
     /// Version of the catalogue in force; its lag is the largest over all processes less this one.
-    version: gauge "hazeltiller_catalogue_version" [];
+    catalogue_version: gauge "hazeltiller_catalogue_version" [];
     /// Nodes that the version in force here is known to be in force on, as a control knows.
     nodes_in_force: gauge "hazeltiller_nodes_in_force" [];
     /// Nodes that are known, as a control knows.
@@ -135,7 +136,7 @@
     /// Links that were closed because the other side lacked the key or sent what is no message.
     refused_peers: counter "hazeltiller_refused_peers_total" ["code"];
     /// Term of the control group, as this control knows.
-    term: gauge "hazeltiller_leader_term" [];
+    leader_term: gauge "hazeltiller_leader_term" [];
     /// 1 while this control leads.
     is_leader: gauge "hazeltiller_is_leader" [];
     /// Voters of the control group by whether they answer (alive, silent), as its leader knows.
@@ -151,40 +152,40 @@
     /// Events that the reducer took.
     events: counter "hazeltiller_engine_events_total" [];
     /// Time that the reducer and its effects took, in microseconds.
-    busy: counter "hazeltiller_engine_busy_microseconds_total" [];
+    busy_us: counter "hazeltiller_engine_busy_microseconds_total" [];
 }
 
 impl ProcessMetrics {
-    /// Every figure in the text form of Prometheus.
+    /// Renders all values in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         TextEncoder::new()
             .encode(&self.registry.gather(), &mut text)
-            .expect("every family has figures, and memory takes them");
+            .expect("every metric family has values, and writing to memory succeeds");
         text
     }
 
-    /// Notes an event that the reducer took.
-    pub fn record_event(&self, took: Duration) {
+    /// Counts an event that the reducer has processed, and the time that it took.
+    pub fn record_event(&self, duration: Duration) {
         self.events.with_label_values::<&str>(&[]).inc();
-        let micros = took.as_micros() as u64;
-        self.busy.with_label_values::<&str>(&[]).inc_by(micros);
+        let micros = duration.as_micros() as u64;
+        self.busy_us.with_label_values::<&str>(&[]).inc_by(micros);
     }
 }
 
-/// The page that documents every metric.
+/// Renders docs/METRICS.md from the table.
 pub fn page() -> String {
     let mut page = String::from(
-        "# Metrics\n\nEvery process gives its metrics at `/metrics` of its operators listener, in \
-         the text form of Prometheus.\n\nThis page is printed from the table in the daemon and \
-         checked against it by a test.\n\n| name | form | labels | what it tells |\n| --- | --- \
+        "# Metrics\n\nEach process serves its metrics at `/metrics` on its operators listener, in \
+         the Prometheus text format.\n\nThis page is generated from the table in the daemon and \
+         checked against it by a test.\n\n| name | type | labels | description |\n| --- | --- \
          | --- | --- |\n",
     );
     for row in ProcessMetrics::rows() {
         page.push_str(&format!(
             "| `{}` | {} | {} | {} |\n",
             row.name,
-            row.form,
+            row.metric_type,
             row.labels.join(", "),
             row.doc
         ));
@@ -192,7 +193,7 @@
     page
 }
 
-/// A store whose writes are timed.
+/// Wraps the store of the replicated log and measures its writes.
 pub struct MeasuredStore {
     store: Box<dyn LogStore>,
     metrics: Arc<ProcessMetrics>,
@@ -205,7 +206,7 @@
 }
 
 impl MeasuredStore {
-    /// Times the writes of `store`.
+    /// Wraps a store.
     pub fn new(store: Box<dyn LogStore>, metrics: Arc<ProcessMetrics>) -> Self {
         Self { store, metrics }
     }
@@ -222,10 +223,10 @@
             .sync_seconds
             .with_label_values::<&str>(&[])
             .start_timer();
-        let written = self.store.write(batches);
+        let result = self.store.write(batches);
         timer.observe_duration();
         let counter = self.metrics.batches.with_label_values::<&str>(&[]);
         counter.inc_by(count);
-        written
+        result
     }
 }
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -1,7 +1,7 @@
-//! Watches what passes through the reducer and derives the time line and counts from it.
+//! Derives the timeline and metrics from the events and effects of the reducer.
 //!
-//! It stands in the engine's actor, sees each event before it is reduced and each effect before it
-//! is run, and changes neither.
+//! The actor that runs the reducer passes each event to the observer before it is reduced, and each
+//! effect before it is carried out. The observer modifies neither.
 
 use std::{
     sync::Arc,
@@ -21,55 +21,57 @@
 mod fleet;
 mod usage;
 
-/// Smallest status of an answer that says that the run came to nothing.
-const FAILED_STATUS: u16 = 500;
+/// Smallest HTTP status that counts as a failed run.
+const MIN_FAILURE_STATUS: u16 = 500;
 
-/// A call that goes through this process.
+/// A call in progress on this process, either from a caller or as an offer from another node.
 #[derive(Debug)]
 struct OpenCall {
     request: ids::RequestId,
+    /// Whether the call came from a caller.
     is_ingress: bool,
-    began: Instant,
-    /// When its latest try began, or when it got a slot here.
-    step_began: Instant,
-    /// Time from its offer here within which its answer is of full worth.
+    started_at: Instant,
+    /// When the latest attempt started, or when the call was admitted to a slot.
+    step_started_at: Instant,
+    /// Time left until the target latency when the call was offered to this node.
     latency_left: Duration,
     status: u16,
-    /// What was noted of it, logged when it has ended.
+    /// Events of the call, logged when it has ended.
     records: Vec<timeline::TimelineRecord>,
-    /// Whether it runs at an own target.
+    /// Whether it occupies a slot of a local target.
     has_slot: bool,
-    /// Known once a target was chosen.
+    /// Known once a target has been selected, as are class and route.
     service: Option<ids::EntryName>,
     class: Option<ids::EntryName>,
     route: Option<ids::EntryName>,
 }
 
-/// Derives events of the time line.
+/// Derives the timeline and metrics.
 #[derive(Debug)]
 pub struct EngineObserver {
     timeline: timeline::Timeline,
     metrics: Arc<metrics::ProcessMetrics>,
     calls: IndexMap<ids::CallId, OpenCall>,
+    /// Ids of the proposed changes by proposal number.
     changes: IndexMap<u64, ids::ChangeId>,
-    fleet: fleet::FleetWatch,
+    fleet: fleet::FleetMonitor,
     usage: usage::UsageTable,
 }
 
 impl EngineObserver {
-    /// An observer that has seen nothing yet.
+    /// Returns an observer without any calls or changes.
     pub fn new(timeline: timeline::Timeline, metrics: Arc<metrics::ProcessMetrics>) -> Self {
         Self {
             timeline,
             metrics,
             calls: IndexMap::new(),
             changes: IndexMap::new(),
-            fleet: fleet::FleetWatch::default(),
+            fleet: fleet::FleetMonitor::default(),
             usage: usage::UsageTable::default(),
         }
     }
 
-    /// Sees a call before its first event.
+    /// Registers a call before its first event is reduced.
     pub fn call_opened(
         &mut self,
         call: ids::CallId,
@@ -77,12 +79,12 @@
         event: &calls::CallEvent,
     ) {
         let is_ingress = matches!(event, calls::CallEvent::Arrived(_));
-        let began = Instant::now();
-        let open = OpenCall {
+        let started_at = Instant::now();
+        let open_call = OpenCall {
             request,
             is_ingress,
-            began,
-            step_began: began,
+            started_at,
+            step_started_at: started_at,
             latency_left: Duration::MAX,
             status: 0,
             records: Vec::new(),
@@ -91,27 +93,27 @@
             class: None,
             route: None,
         };
-        self.calls.insert(call, open);
+        self.calls.insert(call, open_call);
     }
 
-    /// Sees that an event was reduced and its effects were run.
-    pub fn after_event(&self, took: Duration) {
-        self.metrics.record_event(took);
+    /// Counts an event after it has been reduced and its effects have been carried out.
+    pub fn after_event(&self, duration: Duration) {
+        self.metrics.record_event(duration);
     }
 
-    /// Sees an event before it is reduced.
+    /// Observes an event before it is reduced.
     pub fn before_event(&mut self, state: &reducer::EngineState, event: &event::Event) {
         match event {
             event::Event::Tick => {
-                self.fleet.look(state, &self.timeline);
-                self.usage.look(state.now, &self.timeline);
+                self.fleet.check(state, &self.timeline);
+                self.usage.report(state.now, &self.timeline);
             }
             event::Event::Received { from, .. } => {
-                self.fleet.heard(from.address, &self.timeline);
+                self.fleet.message_received(from.address, &self.timeline);
             }
-            event::Event::LinkLost { address } => self.fleet.lost(*address, &self.timeline),
+            event::Event::LinkLost { address } => self.fleet.link_lost(*address, &self.timeline),
             event::Event::Replication(replication::ReplicationEvent::Propose(proposal)) => {
-                self.proposed(proposal);
+                self.change_proposed(proposal);
             }
             event::Event::Calls(event) => {
                 let version = state.dissemination.in_force.version;
@@ -121,13 +123,13 @@
         }
     }
 
-    /// Sees an effect before it is run.
+    /// Observes an effect before it is carried out.
     pub fn before_effect(&mut self, state: &reducer::EngineState, effect: &event::Effect) {
         match effect {
             event::Effect::Replication(replication::ReplicationEffect::Answer {
                 number,
                 answer,
-            }) => self.answered(number.0, answer),
+            }) => self.change_answered(number.0, answer),
             event::Effect::Replication(replication::ReplicationEffect::Report {
                 code,
                 message,
@@ -167,7 +169,7 @@
         }
     }
 
-    fn proposed(&mut self, proposal: &replication::ChangeProposal) {
+    fn change_proposed(&mut self, proposal: &replication::ChangeProposal) {
         let change = proposal.request.change_id.clone();
         self.changes.insert(proposal.number.0, change.clone());
         self.timeline.record(TimelineEvent::ChangeProposed {
@@ -176,7 +178,7 @@
         });
     }
 
-    fn answered(&mut self, number: u64, answer: &replication::ProposalAnswer) {
+    fn change_answered(&mut self, number: u64, answer: &replication::ProposalAnswer) {
         let Some(change) = self.changes.swap_remove(&number) else {
             return;
         };
@@ -194,7 +196,7 @@
                 change,
                 leader: *leader,
             },
-            // A change of voters, or a read, is no proposal of a change of the catalogue.
+            // These answer changes of the voters and reads, not changes of the catalogue.
             replication::ProposalAnswer::GroupChanged(_)
             | replication::ProposalAnswer::Current { .. } => return,
         };
@@ -204,7 +206,7 @@
     fn call_event(&mut self, event: &calls::CallEvent, version: ids::CatalogueVersion) {
         match event {
             calls::CallEvent::Arrived(arrival) => {
-                self.note_call(arrival.call, |request| TimelineEvent::CallArrived {
+                self.record_call(arrival.call, |request| TimelineEvent::CallArrived {
                     request,
                     method: arrival.method.clone(),
                     path: arrival.path.clone(),
@@ -213,29 +215,30 @@
                 });
             }
             calls::CallEvent::Offered { call, offer } => {
-                self.name_call(*call, [&offer.service, &offer.class, &offer.route]);
+                self.set_call_names(*call, [&offer.service, &offer.class, &offer.route]);
                 self.usage.of_route(&offer.route).offers += 1;
-                if let Some(open) = self.calls.get_mut(call) {
-                    open.latency_left = Duration::from_millis(u64::from(offer.latency_left_ms));
+                if let Some(open_call) = self.calls.get_mut(call) {
+                    open_call.latency_left =
+                        Duration::from_millis(u64::from(offer.latency_left_ms));
                 }
-                self.note_call(*call, |request| TimelineEvent::CallOffered {
+                self.record_call(*call, |request| TimelineEvent::CallOffered {
                     request,
                     target: offer.target.clone(),
                     attempt: offer.attempt,
                 });
             }
-            calls::CallEvent::AttemptEnded { call, result, .. } => self.try_ended(*call, result),
+            calls::CallEvent::AttemptEnded { call, result, .. } => self.end_attempt(*call, result),
             calls::CallEvent::RunEnded { call, result } => self.run_ended(*call, *result),
             calls::CallEvent::Finished(call) => self.close(*call, None),
             calls::CallEvent::Claimed(_) => {}
         }
     }
 
-    fn try_ended(&mut self, call: ids::CallId, result: &calls::AttemptResult) {
+    fn end_attempt(&mut self, call: ids::CallId, result: &calls::AttemptResult) {
         let (failure, code) = match result {
             calls::AttemptResult::Answered { status } => {
-                if let Some(open) = self.calls.get_mut(&call) {
-                    open.status = *status;
+                if let Some(open_call) = self.calls.get_mut(&call) {
+                    open_call.status = *status;
                 }
                 return;
             }
@@ -243,41 +246,41 @@
             calls::AttemptResult::NotReached => (CallFailure::NotReached, None),
             calls::AttemptResult::Lost => (CallFailure::Lost, None),
         };
-        let Some(open) = self.calls.get(&call) else {
+        let Some(open_call) = self.calls.get(&call) else {
             return;
         };
-        let took = open.step_began.elapsed();
+        let duration = open_call.step_started_at.elapsed();
         if failure == CallFailure::Refused {
-            let [service, _class] = open.labels();
+            let [service, _class] = open_call.labels();
             let metric = self
                 .metrics
                 .given_back_seconds
                 .with_label_values(&[service]);
-            metric.observe(took.as_secs_f64());
-            if let Some(route) = &open.route {
-                self.usage.of_route(route).note_given_back(took);
+            metric.observe(duration.as_secs_f64());
+            if let Some(route) = &open_call.route {
+                self.usage.of_route(route).add_refused_attempt(duration);
             }
         }
-        self.note_call(call, |request| TimelineEvent::CallTryFailed {
+        self.record_call(call, |request| TimelineEvent::CallTryFailed {
             request,
             failure,
             code,
-            took_us: took.as_micros() as u64,
+            took_us: duration.as_micros() as u64,
         });
     }
 
     fn run_ended(&mut self, call: ids::CallId, result: calls::RunResult) {
-        let Some(open) = self.calls.get(&call) else {
+        let Some(open_call) = self.calls.get(&call) else {
             return;
         };
         let failure = match result {
             calls::RunResult::Done { status } => {
-                self.count_run(open, "done");
+                self.count_run(open_call, "done");
                 self.usage
-                    .end_run(open, status < FAILED_STATUS, &self.metrics);
+                    .end_run(open_call, status < MIN_FAILURE_STATUS, &self.metrics);
                 let done = TimelineEvent::RunDone {
-                    took_us: open.took_us(),
-                    request: open.request.clone(),
+                    took_us: open_call.elapsed_us(),
+                    request: open_call.request.clone(),
                     status,
                 };
                 return self.close(call, Some(done));
@@ -291,31 +294,31 @@
             calls::RunResult::Truncated => CallFailure::Cut,
             calls::RunResult::CallerGone => CallFailure::CallerGone,
         };
-        self.count_run(open, failure_word(failure));
-        self.usage.end_run(open, false, &self.metrics);
-        let request = open.request.clone();
+        self.count_run(open_call, failure_label(failure));
+        self.usage.end_run(open_call, false, &self.metrics);
+        let request = open_call.request.clone();
         self.close(call, Some(TimelineEvent::RunFailed { request, failure }));
     }
 
-    /// Forgets a call that this process is done with, and has it logged.
+    /// Removes a call that has ended on this process, and logs its events.
     fn close(&mut self, call: ids::CallId, last: Option<TimelineEvent>) {
-        let Some(mut open) = self.calls.swap_remove(&call) else {
+        let Some(mut open_call) = self.calls.swap_remove(&call) else {
             return;
         };
         let last = last.map(|event| self.timeline.record_unlogged(event));
-        open.records.extend(last);
-        self.timeline.log_request(&open.records);
+        open_call.records.extend(last);
+        self.timeline.log_request(&open_call.records);
     }
 
     fn call_effect(&mut self, state: &reducer::EngineState, effect: &calls::CallEffect) {
         match effect {
             calls::CallEffect::Attempt(call, plan) => {
                 let offer = &plan.offer;
-                self.name_call(*call, [&offer.service, &offer.class, &offer.route]);
-                self.count_try(&plan.offer);
-                self.usage.of_route(&plan.offer.route).tries += 1;
-                self.begin_step(*call);
-                self.note_call(*call, |request| TimelineEvent::CallTried {
+                self.set_call_names(*call, [&offer.service, &offer.class, &offer.route]);
+                self.count_attempt(&plan.offer);
+                self.usage.of_route(&plan.offer.route).attempts += 1;
+                self.start_step(*call);
+                self.record_call(*call, |request| TimelineEvent::CallTried {
                     request,
                     attempt: plan.offer.attempt,
                     target: plan.candidate.target.clone(),
@@ -335,25 +338,28 @@
                 });
             }
             calls::CallEffect::Run(call, plan) => {
-                self.begin_step(*call);
-                if let Some(open) = self.calls.get_mut(call) {
-                    open.has_slot = true;
+                self.start_step(*call);
+                if let Some(open_call) = self.calls.get_mut(call) {
+                    open_call.has_slot = true;
                 }
-                self.note_call(*call, |request| TimelineEvent::CallRun {
+                self.record_call(*call, |request| TimelineEvent::CallRun {
                     request,
                     target: plan.target.clone(),
                 });
             }
             calls::CallEffect::ForwardAnswer(call) => {
-                if let Some(open) = self.calls.get(call) {
-                    self.count_call(open, "answered");
-                    let latency = self.metrics.call_seconds.with_label_values(&open.labels());
-                    latency.observe(open.began.elapsed().as_secs_f64());
-                    if let Some(route) = &open.route {
+                if let Some(open_call) = self.calls.get(call) {
+                    self.count_call(open_call, "answered");
+                    let call_seconds = self
+                        .metrics
+                        .call_seconds
+                        .with_label_values(&open_call.labels());
+                    call_seconds.observe(open_call.started_at.elapsed().as_secs_f64());
+                    if let Some(route) = &open_call.route {
                         self.usage.of_route(route).answered += 1;
                     }
-                    let (status, took_us) = (open.status, open.took_us());
-                    self.note_call(*call, |request| TimelineEvent::CallAnswered {
+                    let (status, took_us) = (open_call.status, open_call.elapsed_us());
+                    self.record_call(*call, |request| TimelineEvent::CallAnswered {
                         request,
                         status,
                         took_us,
@@ -361,31 +367,35 @@
                 }
             }
             calls::CallEffect::Refuse(call, refusal) => {
-                // One that was offered to no target has no name yet.
+                // The names of a call that was never offered to a target are not set yet.
                 if let Some(record) = state.calls.ingress.get(call) {
                     let attributes = &record.attributes;
-                    self.name_call(
+                    self.set_call_names(
                         *call,
                         [&attributes.service, &attributes.class, &attributes.route],
                     );
                 }
-                self.refused(*call, refusal);
+                self.call_refused(*call, refusal);
             }
             calls::CallEffect::Replay(..) => {}
         }
     }
 
-    fn refused(&mut self, call: ids::CallId, refusal: &hazeltiller_wire::calls::CallRefusal) {
-        let Some(open) = self.calls.get(&call) else {
+    fn call_refused(&mut self, call: ids::CallId, refusal: &hazeltiller_wire::calls::CallRefusal) {
+        let Some(open_call) = self.calls.get(&call) else {
             return;
         };
-        let (request, code) = (open.request.clone(), refusal.code);
-        let side = if open.is_ingress { "ingress" } else { "owner" };
+        let (request, code) = (open_call.request.clone(), refusal.code);
+        let side = if open_call.is_ingress {
+            "ingress"
+        } else {
+            "owner"
+        };
         let labels = [&code.to_string(), side];
         self.metrics.refusals.with_label_values(&labels).inc();
-        if open.is_ingress {
+        if open_call.is_ingress {
             self.count_call(
-                open,
+                open_call,
                 match refusal.outcome {
                     hazeltiller_wire::calls::CallOutcome::NotRun
                     | hazeltiller_wire::calls::CallOutcome::Ran => "refused",
@@ -393,19 +403,19 @@
                 },
             );
         }
-        let took = open.began.elapsed();
-        if let Some(route) = &open.route {
+        let duration = open_call.started_at.elapsed();
+        if let Some(route) = &open_call.route {
             let usage = self.usage.of_route(route);
-            usage.note_refusal(open.is_ingress, took);
+            usage.add_refusal(open_call.is_ingress, duration);
         }
-        let took_us = took.as_micros() as u64;
-        if open.is_ingress {
-            let held = self
+        let took_us = duration.as_micros() as u64;
+        if open_call.is_ingress {
+            let refused_seconds = self
                 .metrics
                 .refused_seconds
-                .with_label_values(&open.labels());
-            held.observe(took.as_secs_f64());
-            return self.note_call(call, |request| TimelineEvent::CallRefused {
+                .with_label_values(&open_call.labels());
+            refused_seconds.observe(duration.as_secs_f64());
+            return self.record_call(call, |request| TimelineEvent::CallRefused {
                 request,
                 code,
                 outcome: refusal.outcome,
@@ -423,62 +433,64 @@
             slots: load.map(|load| load.slots),
             held_us: took_us,
         };
-        // Nothing of it runs, so that its end is no failed run.
+        // The call never ran, so it is closed here and not counted as a failed run.
         self.close(call, Some(refused));
     }
 
-    fn name_call(&mut self, call: ids::CallId, [service, class, route]: [&ids::EntryName; 3]) {
-        if let Some(open) = self.calls.get_mut(&call) {
-            open.service = Some(service.clone());
-            open.class = Some(class.clone());
-            open.route = Some(route.clone());
+    fn set_call_names(&mut self, call: ids::CallId, [service, class, route]: [&ids::EntryName; 3]) {
+        if let Some(open_call) = self.calls.get_mut(&call) {
+            open_call.service = Some(service.clone());
+            open_call.class = Some(class.clone());
+            open_call.route = Some(route.clone());
         }
     }
 
-    fn begin_step(&mut self, call: ids::CallId) {
-        if let Some(open) = self.calls.get_mut(&call) {
-            open.step_began = Instant::now();
+    fn start_step(&mut self, call: ids::CallId) {
+        if let Some(open_call) = self.calls.get_mut(&call) {
+            open_call.step_started_at = Instant::now();
         }
     }
 
-    fn count_try(&self, offer: &hazeltiller_wire::calls::CallOffer) {
+    fn count_attempt(&self, offer: &hazeltiller_wire::calls::CallOffer) {
         let labels = [offer.service.as_str()];
-        self.metrics.tries.with_label_values(&labels).inc();
+        self.metrics.attempts.with_label_values(&labels).inc();
         if offer.attempt > 1 {
             self.metrics.retries.with_label_values(&labels).inc();
         }
     }
 
-    fn count_call(&self, open: &OpenCall, result: &str) {
-        let [service, class] = open.labels();
+    fn count_call(&self, open_call: &OpenCall, result: &str) {
+        let [service, class] = open_call.labels();
         let labels = [service, class, result];
         self.metrics.calls.with_label_values(&labels).inc();
     }
 
-    fn count_run(&self, open: &OpenCall, result: &str) {
-        let [service, _class] = open.labels();
+    fn count_run(&self, open_call: &OpenCall, result: &str) {
+        let [service, _class] = open_call.labels();
         self.metrics
             .runs
             .with_label_values(&[service, result])
             .inc();
-        let took = self.metrics.run_seconds.with_label_values(&[service]);
-        took.observe(open.began.elapsed().as_secs_f64());
+        let run_seconds = self.metrics.run_seconds.with_label_values(&[service]);
+        run_seconds.observe(open_call.started_at.elapsed().as_secs_f64());
     }
 
-    fn note_call(
+    fn record_call(
         &mut self,
         call: ids::CallId,
         event: impl FnOnce(ids::RequestId) -> TimelineEvent,
     ) {
-        if let Some(open) = self.calls.get_mut(&call) {
-            let record = self.timeline.record_unlogged(event(open.request.clone()));
-            open.records.push(record);
+        if let Some(open_call) = self.calls.get_mut(&call) {
+            let record = self
+                .timeline
+                .record_unlogged(event(open_call.request.clone()));
+            open_call.records.push(record);
         }
     }
 }
 
-/// The word of a failure in labels.
-fn failure_word(failure: CallFailure) -> &'static str {
+/// Returns the metric label of a failure.
+fn failure_label(failure: CallFailure) -> &'static str {
     match failure {
         CallFailure::NotReached => "not_reached",
         CallFailure::Lost => "lost",
@@ -495,7 +507,7 @@
 }
 
 impl OpenCall {
-    /// Service and class; empty before a target was chosen.
+    /// Returns the service and class, which are empty until a target has been selected.
     fn labels(&self) -> [&str; 2] {
         [
             name_text(self.service.as_ref()),
@@ -503,8 +515,8 @@
         ]
     }
 
-    fn took_us(&self) -> u64 {
-        self.began.elapsed().as_micros() as u64
+    fn elapsed_us(&self) -> u64 {
+        self.started_at.elapsed().as_micros() as u64
     }
 }
 
--- a/crates/daemon/src/observer/fleet.rs
+++ b/crates/daemon/src/observer/fleet.rs
@@ -1,4 +1,4 @@
-//! What the observer reads off the state: leaders, members, links that are lost and come back.
+//! Detects changes of leaders, voters, members and links, and records them in the timeline.
 
 use std::net::SocketAddr;
 
@@ -11,29 +11,29 @@
 
 use crate::timeline;
 
-/// What was last noted of the fleet.
+/// The state of the fleet as it was last recorded.
 #[derive(Debug, Default)]
-pub(super) struct FleetWatch {
+pub(super) struct FleetMonitor {
     lost_links: IndexSet<SocketAddr>,
     leader: Option<SocketAddr>,
-    /// Voters that did not answer this process at the last look; empty unless it leads.
+    /// Voters that did not answer this process at the last check; empty unless it is the leader.
     silent_voters: IndexSet<ids::InstanceName>,
-    views: IndexMap<ids::InstanceName, MemberView>,
-    revision: u64,
+    member_views: IndexMap<ids::InstanceName, MemberView>,
+    membership_revision: u64,
 }
 
-impl FleetWatch {
-    /// Notes what has changed in the state.
-    pub(super) fn look(&mut self, state: &reducer::EngineState, timeline: &timeline::Timeline) {
-        self.look_at_group(state, timeline);
-        self.look_at_members(state, timeline);
+impl FleetMonitor {
+    /// Records what has changed since the last check.
+    pub(super) fn check(&mut self, state: &reducer::EngineState, timeline: &timeline::Timeline) {
+        self.check_leader(state, timeline);
+        self.check_members(state, timeline);
     }
 
-    fn look_at_group(&mut self, state: &reducer::EngineState, timeline: &timeline::Timeline) {
+    fn check_leader(&mut self, state: &reducer::EngineState, timeline: &timeline::Timeline) {
         let Some(view) = replication::GroupView::of(state) else {
             return;
         };
-        self.look_at_voters(&view, timeline);
+        self.check_voters(&view, timeline);
         if view.leader == self.leader {
             return;
         }
@@ -45,11 +45,11 @@
         });
     }
 
-    /// Notes voters that fall silent or answer again, with what is left of the group: the next loss may
-    /// be one too many, and the group goes on without a sign of it.
-    fn look_at_voters(&mut self, view: &replication::GroupView, timeline: &timeline::Timeline) {
+    /// Records voters that stop or resume answering, with the remaining margin to the majority. The
+    /// group gives no other sign that the loss of one more voter may leave it without a majority.
+    fn check_voters(&mut self, view: &replication::GroupView, timeline: &timeline::Timeline) {
         let (alive, majority) = (view.alive_voters(), view.majority());
-        let silent = voters_that(view, replication::VoterView::is_silent);
+        let silent = select_voters(view, replication::VoterView::is_silent);
         for voter in silent.difference(&self.silent_voters).cloned() {
             timeline.record(TimelineEvent::VoterSilent {
                 voter,
@@ -57,7 +57,7 @@
                 majority,
             });
         }
-        let answering = voters_that(view, replication::VoterView::is_answering);
+        let answering = select_voters(view, replication::VoterView::is_answering);
         for voter in self.silent_voters.intersection(&answering).cloned() {
             timeline.record(TimelineEvent::VoterBack {
                 voter,
@@ -68,11 +68,11 @@
         self.silent_voters = silent;
     }
 
-    fn look_at_members(&mut self, state: &reducer::EngineState, timeline: &timeline::Timeline) {
-        if self.revision == state.membership.revision {
+    fn check_members(&mut self, state: &reducer::EngineState, timeline: &timeline::Timeline) {
+        if self.membership_revision == state.membership.revision {
             return;
         }
-        self.revision = state.membership.revision;
+        self.membership_revision = state.membership.revision;
         for (name, member) in &state.membership.members {
             let view = if member.is_forgotten {
                 MemberView::Forgotten
@@ -83,32 +83,33 @@
             } else {
                 MemberView::Unreachable
             };
-            if self.views.insert(name.clone(), view) != Some(view) {
+            if self.member_views.insert(name.clone(), view) != Some(view) {
                 let member = name.clone();
                 timeline.record(TimelineEvent::MemberChanged { member, view });
             }
         }
     }
 
-    /// Notes that something came again over a lost link.
-    pub(super) fn heard(&mut self, address: SocketAddr, timeline: &timeline::Timeline) {
+    /// Records that a peer whose link was lost can be heard again.
+    pub(super) fn message_received(&mut self, address: SocketAddr, timeline: &timeline::Timeline) {
         if self.lost_links.swap_remove(&address) {
             timeline.record(TimelineEvent::LinkBack { address });
         }
     }
 
-    /// Notes a lost link once, however often it is tried again.
-    pub(super) fn lost(&mut self, address: SocketAddr, timeline: &timeline::Timeline) {
+    /// Records a lost link, once for any number of failed attempts to reopen it.
+    pub(super) fn link_lost(&mut self, address: SocketAddr, timeline: &timeline::Timeline) {
         if self.lost_links.insert(address) {
             timeline.record(TimelineEvent::LinkLost { address });
         }
     }
 }
 
-fn voters_that(
+/// Returns the names of the voters that satisfy a predicate.
+fn select_voters(
     view: &replication::GroupView,
-    is_such: impl Fn(&replication::VoterView) -> bool,
+    predicate: impl Fn(&replication::VoterView) -> bool,
 ) -> IndexSet<ids::InstanceName> {
-    let voters = view.members.iter().filter(|member| is_such(member));
+    let voters = view.members.iter().filter(|member| predicate(member));
     voters.filter_map(|voter| voter.instance.clone()).collect()
 }
--- a/crates/daemon/src/observer/usage.rs
+++ b/crates/daemon/src/observer/usage.rs
@@ -1,8 +1,8 @@
-//! What calls use, by route and second: time that callers waited for refusals, and time of slots by what came
-//! of their runs.
+//! Totals per route and second: how long callers waited for refusals, and the slot time spent on
+//! runs by their outcome.
 //!
-//! Single requests are logged within bounds, and those that failed before the others, so their lines tell what
-//! happened to a request but not what the whole was spent on. These sums cover every call.
+//! The log lines of individual requests are rate-limited and cover mainly failed ones. They show
+//! what happened to a request, but not where time was spent overall. These totals cover all calls.
 
 use std::time::Duration;
 
@@ -13,140 +13,146 @@
 use super::OpenCall;
 use crate::{metrics, timeline};
 
-/// Span of one line.
-const LINE_SPAN: Duration = Duration::from_secs(1);
-/// Routes that are told of in a span: those with the most refusals.
-const MOST_LINES: usize = 16;
-/// Routes that are counted in a span.
-const MOST_ROUTES: usize = 256;
+/// Interval at which totals are reported.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Largest number of routes reported per interval; those with the most refusals are selected.
+const MAX_REPORTED_ROUTES: usize = 16;
+/// Largest number of routes with totals of their own in an interval.
+const MAX_COUNTED_ROUTES: usize = 256;
 
-/// Use of one route since the last line.
+/// Totals of a route since the last report.
 #[derive(Debug, Default)]
-pub(super) struct UsageSums {
+pub(super) struct UsageTotals {
     pub(super) answered: u64,
-    pub(super) tries: u64,
+    pub(super) attempts: u64,
     pub(super) offers: u64,
-    refused: CountedTime,
-    given_back: CountedTime,
-    declined: CountedTime,
+    /// Requests of callers that were refused.
+    refused_requests: CountedTime,
+    /// Attempts of this node that the owner node of the target refused.
+    refused_attempts: CountedTime,
+    /// Offers of other nodes that this node refused.
+    refused_offers: CountedTime,
+    /// Successful runs that ended within the target latency.
     in_time: CountedTime,
+    /// Successful runs that ended later.
     late: CountedTime,
+    /// Failed runs.
     failed: CountedTime,
 }
 
-/// How many, and their times together.
+/// A count and the total duration.
 #[derive(Debug, Default)]
 struct CountedTime {
     count: u64,
-    time: Duration,
+    total: Duration,
 }
 
 impl CountedTime {
-    fn add(&mut self, time: Duration) {
+    fn add(&mut self, duration: Duration) {
         self.count += 1;
-        self.time += time;
+        self.total += duration;
     }
 
-    fn millis(&self) -> u64 {
-        self.time.as_millis() as u64
+    fn total_ms(&self) -> u64 {
+        self.total.as_millis() as u64
     }
 }
 
-impl UsageSums {
-    /// Takes an offer that its target's node gave back after a time.
-    pub(super) fn note_given_back(&mut self, took: Duration) {
-        self.given_back.add(took);
+impl UsageTotals {
+    /// Adds an attempt that the owner node of the target refused.
+    pub(super) fn add_refused_attempt(&mut self, duration: Duration) {
+        self.refused_attempts.add(duration);
     }
 
-    /// Takes a refusal of a caller's request or of another node's offer.
-    pub(super) fn note_refusal(&mut self, is_ingress: bool, took: Duration) {
-        let sums = if is_ingress {
-            &mut self.refused
+    /// Adds a refusal of a caller's request, or of another node's offer.
+    pub(super) fn add_refusal(&mut self, is_ingress: bool, duration: Duration) {
+        let counted_time = if is_ingress {
+            &mut self.refused_requests
         } else {
-            &mut self.declined
+            &mut self.refused_offers
         };
-        sums.add(took);
+        counted_time.add(duration);
     }
 
     fn usage(&self) -> engine_timeline::RouteUsage {
         engine_timeline::RouteUsage {
             answered: self.answered,
-            refused: self.refused.count,
-            refused_ms: self.refused.millis(),
-            tries: self.tries,
-            given_back: self.given_back.count,
-            given_back_ms: self.given_back.millis(),
+            refused: self.refused_requests.count,
+            refused_ms: self.refused_requests.total_ms(),
+            tries: self.attempts,
+            given_back: self.refused_attempts.count,
+            given_back_ms: self.refused_attempts.total_ms(),
             offers: self.offers,
-            declined: self.declined.count,
-            declined_ms: self.declined.millis(),
+            declined: self.refused_offers.count,
+            declined_ms: self.refused_offers.total_ms(),
             in_time: self.in_time.count,
-            in_time_ms: self.in_time.millis(),
+            in_time_ms: self.in_time.total_ms(),
             late: self.late.count,
-            late_ms: self.late.millis(),
+            late_ms: self.late.total_ms(),
             failed: self.failed.count,
-            failed_ms: self.failed.millis(),
+            failed_ms: self.failed.total_ms(),
         }
     }
 }
 
-/// Use by route.
+/// Totals by route.
 #[derive(Debug, Default)]
 pub(super) struct UsageTable {
-    routes: IndexMap<ids::EntryName, UsageSums>,
-    /// What is counted for routes beyond the bound, and told of nowhere.
-    others: UsageSums,
-    began: time::MonotonicTime,
+    routes: IndexMap<ids::EntryName, UsageTotals>,
+    /// Totals of routes beyond the limit, which are not reported.
+    excess_routes: UsageTotals,
+    interval_start: time::MonotonicTime,
 }
 
 impl UsageTable {
-    /// The sums of a route.
-    pub(super) fn of_route(&mut self, route: &ids::EntryName) -> &mut UsageSums {
-        if self.routes.len() >= MOST_ROUTES && !self.routes.contains_key(route) {
-            return &mut self.others;
+    /// Returns the totals of a route.
+    pub(super) fn of_route(&mut self, route: &ids::EntryName) -> &mut UsageTotals {
+        if self.routes.len() >= MAX_COUNTED_ROUTES && !self.routes.contains_key(route) {
+            return &mut self.excess_routes;
         }
         self.routes.entry(route.clone()).or_default()
     }
 
-    /// Takes the end of an offered call, which held a slot unless it still waited.
+    /// Adds the slot time of an offered call that has ended, unless it ended while it was queued.
     pub(super) fn end_run(
         &mut self,
-        open: &OpenCall,
-        is_good: bool,
+        open_call: &OpenCall,
+        is_success: bool,
         metrics: &metrics::ProcessMetrics,
     ) {
-        let Some(route) = open.route.as_ref().filter(|_| open.has_slot) else {
+        let Some(route) = open_call.route.as_ref().filter(|_| open_call.has_slot) else {
             return;
         };
-        let took = open.step_began.elapsed();
-        let sums = self.of_route(route);
-        let (sum, result) = if !is_good {
-            (&mut sums.failed, "failed")
-        } else if open.began.elapsed() <= open.latency_left {
-            (&mut sums.in_time, "in_time")
+        let slot_time = open_call.step_started_at.elapsed();
+        let totals = self.of_route(route);
+        let (counted_time, result) = if !is_success {
+            (&mut totals.failed, "failed")
+        } else if open_call.started_at.elapsed() <= open_call.latency_left {
+            (&mut totals.in_time, "in_time")
         } else {
-            (&mut sums.late, "late")
+            (&mut totals.late, "late")
         };
-        sum.add(took);
-        let [service, class] = open.labels();
+        counted_time.add(slot_time);
+        let [service, class] = open_call.labels();
         let metric = metrics
             .slot_time
             .with_label_values(&[service, class, result]);
-        metric.inc_by(took.as_micros() as u64);
+        metric.inc_by(slot_time.as_micros() as u64);
     }
 
-    /// Once a span, tells of the routes whose calls did not all end well.
-    pub(super) fn look(&mut self, now: time::MonotonicTime, timeline: &timeline::Timeline) {
-        if now.since(self.began) < LINE_SPAN {
+    /// Once per interval, records the totals of routes with refused or failed calls.
+    pub(super) fn report(&mut self, now: time::MonotonicTime, timeline: &timeline::Timeline) {
+        if now.since(self.interval_start) < REPORT_INTERVAL {
             return;
         }
-        self.began = now;
-        self.others = UsageSums::default();
-        let used = self.routes.drain(..);
-        let used = used.map(|(route, sums)| (route, sums.usage()));
-        let mut troubled: Vec<_> = used.filter(|(_, usage)| usage.is_trouble()).collect();
-        troubled.sort_by_key(|(_, usage)| std::cmp::Reverse(usage.refused + usage.declined));
-        troubled.truncate(MOST_LINES);
-        for (route, usage) in troubled {
+        self.interval_start = now;
+        self.excess_routes = UsageTotals::default();
+        let drained = self.routes.drain(..);
+        let usages = drained.map(|(route, totals)| (route, totals.usage()));
+        let mut reported: Vec<_> = usages.filter(|(_, usage)| usage.is_trouble()).collect();
+        reported.sort_by_key(|(_, usage)| std::cmp::Reverse(usage.refused + usage.declined));
+        reported.truncate(MAX_REPORTED_ROUTES);
+        for (route, usage) in reported {
             timeline.record(engine_timeline::TimelineEvent::RouteUsage { route, usage });
         }
     }
--- a/crates/daemon/src/replay.rs
+++ b/crates/daemon/src/replay.rs
@@ -1,7 +1,7 @@
-//! A request's body that can be sent again, as far as it is kept.
+//! Request bodies that are buffered so that a retry can send them again.
 //!
-//! Bytes are kept up to a stated bound, so that memory does not grow with what callers send. Past
-//! the bound the body streams on, nothing is kept any more, and a second try is refused.
+//! The buffer is bounded, so that callers can't exhaust memory. A body that exceeds the bound
+//! continues to be streamed without buffering, and the request can't be retried.
 
 use std::{
     pin::Pin,
@@ -16,54 +16,56 @@
 
 use crate::http;
 
-/// A body of an earlier try, which a later try has taken the source from.
+/// The body belongs to an earlier attempt, and a later attempt is now reading from the source.
 #[derive(Debug, Snafu)]
-#[snafu(display("a later try has the body now"))]
-struct BodyTakenOver;
+#[snafu(display("a later attempt has taken over the request body"))]
+struct BodySuperseded;
 
+/// State of a source, shared by the bodies of all attempts.
 #[derive(Debug)]
 struct SourceState {
     incoming: http::StreamBody,
-    kept: Vec<Bytes>,
-    kept_bytes: usize,
-    bound: usize,
+    buffered: Vec<Bytes>,
+    buffered_len: usize,
+    max_buffered_len: usize,
     trailers: Option<hyper::HeaderMap>,
     is_ended: bool,
-    is_over_bound: bool,
-    is_broken: bool,
-    /// Whether it broke off because it was larger than its limit.
-    is_over_limit: bool,
-    tries: u32,
+    /// Whether the buffer has overflowed, so that the body can't be sent again.
+    is_buffer_exceeded: bool,
+    has_failed: bool,
+    /// Whether reading failed because the body exceeds its size limit.
+    exceeds_limit: bool,
+    attempts: u32,
 }
 
-/// The body as the caller sends it, and what is kept of it.
+/// The body of a caller's request, and the part of it that is buffered.
 #[derive(Debug, Clone)]
 pub struct BodySource(Arc<Mutex<SourceState>>);
 
 impl BodySource {
-    /// A source that keeps at most `bound` bytes.
-    pub fn new(incoming: http::StreamBody, bound: usize) -> Self {
+    /// Returns a source that buffers at most `max_buffered_len` bytes.
+    pub fn new(incoming: http::StreamBody, max_buffered_len: usize) -> Self {
         let is_ended = incoming.is_end_stream();
         Self(Arc::new(Mutex::new(SourceState {
             incoming,
-            kept: Vec::new(),
-            kept_bytes: 0,
-            bound,
+            buffered: Vec::new(),
+            buffered_len: 0,
+            max_buffered_len,
             trailers: None,
             is_ended,
-            is_over_bound: false,
-            is_broken: false,
-            is_over_limit: false,
-            tries: 0,
+            is_buffer_exceeded: false,
+            has_failed: false,
+            exceeds_limit: false,
+            attempts: 0,
         })))
     }
 
-    /// Reads the first piece, so that a body that is broken from the start is never sent on.
+    /// Reads the first frame, so that a body that is invalid from the start is never forwarded.
     pub async fn buffer_first_frame(&self) -> Result<(), http::BodyError> {
         std::future::poll_fn(|cx| self.state().poll_read(cx)).await
     }
 
-    /// Reads the whole body; the caller has checked that its length is within the bound.
+    /// Buffers the whole body. The caller has to check that its length is within the bound.
     pub async fn buffer_all(&self) -> Result<(), http::BodyError> {
         while !self.state().is_ended {
             self.buffer_first_frame().await?;
@@ -71,49 +73,52 @@
         Ok(())
     }
 
-    /// The pieces that are kept.
+    /// Returns the buffered frames.
     pub fn buffered_frames(&self) -> Vec<Bytes> {
-        self.state().kept.clone()
+        self.state().buffered.clone()
     }
 
-    /// Bytes that have been read of it so far and are kept.
+    /// Returns the number of bytes that have been read so far and are buffered.
     pub fn buffered_bytes(&self) -> u64 {
-        self.state().kept_bytes as u64
+        self.state().buffered_len as u64
     }
 
-    /// Whether the caller's side broke off or sent what is no body.
+    /// Returns whether reading failed, because the caller disconnected or the body is invalid.
     pub fn has_failed(&self) -> bool {
-        self.state().is_broken
+        self.state().has_failed
     }
 
-    /// Whether it broke off because it was larger than its limit.
+    /// Returns whether reading failed because the body exceeds its size limit.
     pub fn exceeds_limit(&self) -> bool {
-        self.state().is_over_limit
+        self.state().exceeds_limit
     }
 
-    /// The body for the next try; `None` when what was sent before is no longer kept.
+    /// Returns the body for the next attempt, or `None` if the start of the body is no longer
+    /// buffered.
     pub fn body(&self) -> Option<http::StreamBody> {
         let mut state = self.state();
-        if state.is_over_bound {
+        if state.is_buffer_exceeded {
             return None;
         }
-        state.tries += 1;
+        state.attempts += 1;
         let body = ReplayBody {
             source: self.clone(),
-            number: state.tries,
-            next: 0,
-            are_trailers_sent: false,
+            attempt: state.attempts,
+            next_index: 0,
+            has_sent_trailers: false,
         };
         Some(body.boxed_unsync())
     }
 
     fn state(&self) -> MutexGuard<'_, SourceState> {
-        self.0.lock().expect("no holder of the lock panics")
+        self.0
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
 
 impl SourceState {
-    /// Reads one frame into what is kept.
+    /// Reads one frame into the buffer.
     fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), http::BodyError>> {
         if self.is_ended {
             return Poll::Ready(Ok(()));
@@ -121,14 +126,14 @@
         match std::task::ready!(Pin::new(&mut self.incoming).poll_frame(cx)) {
             None => self.is_ended = true,
             Some(Err(error)) => {
-                self.is_broken = true;
-                self.is_over_limit = error.is::<LengthLimitError>();
+                self.has_failed = true;
+                self.exceeds_limit = error.is::<LengthLimitError>();
                 return Poll::Ready(Err(error));
             }
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(data) => {
-                    self.kept_bytes += data.len();
-                    self.kept.push(data);
+                    self.buffered_len += data.len();
+                    self.buffered.push(data);
                     self.is_ended = self.incoming.is_end_stream();
                 }
                 Err(frame) => {
@@ -140,25 +145,30 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Forgets what was sent once the bound is passed; returns where the reader stands now.
-    fn keep_within_bound(&mut self, next: usize) -> usize {
-        if self.kept_bytes <= self.bound {
-            return next;
+    /// Discards the frames that have been sent if the buffer exceeds its bound. Returns the index
+    /// of the next frame to send.
+    fn trim_to_bound(&mut self, next_index: usize) -> usize {
+        if self.buffered_len <= self.max_buffered_len {
+            return next_index;
         }
-        self.is_over_bound = true;
-        let sent: usize = self.kept.drain(..next).map(|piece| piece.len()).sum();
-        self.kept_bytes -= sent;
+        self.is_buffer_exceeded = true;
+        let sent_len: usize = self
+            .buffered
+            .drain(..next_index)
+            .map(|chunk| chunk.len())
+            .sum();
+        self.buffered_len -= sent_len;
         0
     }
 }
 
-/// The body as one try sends it.
+/// The body that one attempt sends.
 #[derive(Debug)]
 struct ReplayBody {
     source: BodySource,
-    number: u32,
-    next: usize,
-    are_trailers_sent: bool,
+    attempt: u32,
+    next_index: usize,
+    has_sent_trailers: bool,
 }
 
 impl Body for ReplayBody {
@@ -171,17 +181,17 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let source = self.source.clone();
         let mut state = source.state();
-        if state.tries != self.number {
-            return Poll::Ready(Some(Err(BodyTakenOver.into())));
+        if state.attempts != self.attempt {
+            return Poll::Ready(Some(Err(BodySuperseded.into())));
         }
         loop {
-            if let Some(piece) = state.kept.get(self.next).cloned() {
-                self.next = state.keep_within_bound(self.next + 1);
-                return Poll::Ready(Some(Ok(Frame::data(piece))));
+            if let Some(chunk) = state.buffered.get(self.next_index).cloned() {
+                self.next_index = state.trim_to_bound(self.next_index + 1);
+                return Poll::Ready(Some(Ok(Frame::data(chunk))));
             }
             if state.is_ended {
-                let trailers = state.trailers.clone().filter(|_| !self.are_trailers_sent);
-                self.are_trailers_sent = true;
+                let trailers = state.trailers.clone().filter(|_| !self.has_sent_trailers);
+                self.has_sent_trailers = true;
                 return Poll::Ready(trailers.map(|trailers| Ok(Frame::trailers(trailers))));
             }
             if let Err(error) = std::task::ready!(state.poll_read(cx)) {
@@ -192,19 +202,24 @@
 
     fn is_end_stream(&self) -> bool {
         let state = self.source.state();
-        let are_trailers_sent = self.are_trailers_sent || state.trailers.is_none();
-        state.is_ended && self.next >= state.kept.len() && are_trailers_sent
+        let are_trailers_done = self.has_sent_trailers || state.trailers.is_none();
+        state.is_ended && self.next_index >= state.buffered.len() && are_trailers_done
     }
 
     fn size_hint(&self) -> SizeHint {
         let state = self.source.state();
-        let left: usize = state.kept.iter().skip(self.next).map(Bytes::len).sum();
+        let remaining: usize = state
+            .buffered
+            .iter()
+            .skip(self.next_index)
+            .map(Bytes::len)
+            .sum();
         let incoming = state.incoming.size_hint();
         let mut hint = SizeHint::new();
         if let Some(upper) = incoming.upper() {
-            hint.set_upper(upper + left as u64);
+            hint.set_upper(upper + remaining as u64);
         }
-        hint.set_lower(incoming.lower() + left as u64);
+        hint.set_lower(incoming.lower() + remaining as u64);
         hint
     }
 }
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -1,8 +1,9 @@
-//! The time line of this process: a clock that follows causes, and bounded rings of events.
+//! The timeline of this process: a hybrid logical clock and bounded ring buffers of events.
 //!
-//! Calls have a ring of their own, so that a busy minute does not push out what happened to the
-//! configuration. An event is stamped when it is noted; a clock that takes in the stamp of every
-//! message keeps causes before their consequences over all processes.
+//! Events of calls have a buffer of their own, so that load does not evict events of the
+//! configuration. Events are timestamped when they are recorded. The clock is merged with the
+//! timestamp of every received message, which orders causes before their effects across all
+//! processes.
 
 use std::{
     collections::VecDeque,
@@ -16,10 +17,10 @@
 
 use crate::logging;
 
-/// Lines of the log that requests may take in a second; overload is not made worse by telling of
-/// it. At 300 bytes a line this is 120 KB/s at most.
-const CALL_LINES_A_SECOND: u32 = 400;
-const SECOND_MS: u64 = 1000;
+/// Limit on the log lines about requests per second, so that logging does not aggravate overload.
+/// At 300 bytes per line it allows about 120 KB/s.
+const MAX_CALL_LINES_PER_SECOND: u32 = 400;
+const MS_PER_SECOND: u64 = 1000;
 
 /// The hybrid logical clock of a process.
 #[derive(Debug, Clone, Default)]
@@ -28,49 +29,52 @@
 }
 
 impl HybridClock {
-    /// The time of a local event or of a message that is sent.
+    /// Returns the timestamp of a local event or of a message to send.
     pub fn tick(&self) -> message::HybridTime {
         let mut last = self.lock();
         *last = last.tick(time::WallTime::now());
         *last
     }
 
-    /// Takes in the time of a message that came.
+    /// Merges the timestamp of a received message.
     pub fn merge(&self, sent: message::HybridTime) {
         let mut last = self.lock();
         *last = last.merge(sent, time::WallTime::now());
     }
 
     fn lock(&self) -> MutexGuard<'_, message::HybridTime> {
-        self.last.lock().expect("no holder of the lock panics")
+        self.last
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
 
-/// An event as it is kept and shown.
+/// A recorded event.
 #[derive(Debug, Clone, Serialize)]
 pub struct TimelineRecord {
-    /// Its number in this process, from 1.
+    /// Sequence number in this process, from 1.
     pub sequence: u64,
-    /// When it happened.
+    /// Time of the event.
     pub at: message::HybridTime,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: timeline::TimelineEvent,
 }
 
-/// Events since a number.
+/// Events after a sequence number.
 #[derive(Debug, Clone, Serialize)]
 pub struct TimelinePage {
-    /// This process.
+    /// Instance that recorded the events.
     pub instance: ids::InstanceName,
-    /// The number to ask with next.
+    /// Sequence number from which the next request continues.
     pub last: u64,
-    /// Events that were asked for and are no longer kept.
+    /// Number of requested events that are no longer retained.
     pub dropped: u64,
-    /// The others, in order.
+    /// Retained events in order.
     pub events: Vec<TimelineRecord>,
 }
 
+/// A ring buffer of events.
 #[derive(Debug, Default)]
 struct EventRing {
     records: VecDeque<TimelineRecord>,
@@ -79,13 +83,13 @@
 
 #[derive(Debug, Default)]
 struct TimelineState {
-    last: u64,
+    last_sequence: u64,
     system: EventRing,
     calls: EventRing,
-    lines: LineBudget,
+    line_budget: LineBudget,
 }
 
-/// Bounds the log lines of calls.
+/// Rate limit on the log lines about calls.
 #[derive(Debug, Default)]
 struct LineBudget {
     second: u64,
@@ -93,7 +97,7 @@
     suppressed: u64,
 }
 
-/// A record as it stands in the log.
+/// A recorded event as it is logged.
 #[derive(Debug, Serialize)]
 struct RecordLine<'a> {
     level: &'static str,
@@ -102,7 +106,7 @@
     record: &'a TimelineRecord,
 }
 
-/// Says that lines of calls were left out.
+/// Reports that lines about calls were suppressed.
 #[derive(Debug, Serialize)]
 struct SuppressedLine<'a> {
     level: &'static str,
@@ -111,7 +115,7 @@
     count: u64,
 }
 
-/// The time line of a process.
+/// The timeline of a process.
 #[derive(Debug, Clone)]
 pub struct Timeline {
     instance: ids::InstanceName,
@@ -146,7 +150,7 @@
 }
 
 impl Timeline {
-    /// An empty time line.
+    /// Returns an empty timeline.
     pub fn new(
         instance: ids::InstanceName,
         clock: HybridClock,
@@ -164,19 +168,20 @@
         }
     }
 
-    /// Notes an event and logs it.
+    /// Records an event and logs it.
     pub fn record(&self, event: timeline::TimelineEvent) {
         let record = self.record_unlogged(event);
         self.log(&record);
     }
 
-    /// Notes an event; whether it is logged is seen when its request has ended.
+    /// Records an event of a request without logging it. Whether it is logged is decided once the
+    /// request has ended.
     pub fn record_unlogged(&self, event: timeline::TimelineEvent) -> TimelineRecord {
         let at = self.clock.tick();
         let mut state = self.lock();
-        state.last += 1;
+        state.last_sequence += 1;
         let record = TimelineRecord {
-            sequence: state.last,
+            sequence: state.last_sequence,
             at,
             event,
         };
@@ -189,17 +194,16 @@
         record
     }
 
-    /// Logs all that was kept of a request that has ended, if it did not end well or is one of those
-    /// that are logged anyway.
+    /// Logs all events of a request that has ended, if it has failed or is sampled.
     pub fn log_request(&self, records: &[TimelineRecord]) {
-        let is_trouble = records.iter().any(|record| record.event.is_trouble());
+        let has_failed = records.iter().any(|record| record.event.is_trouble());
         let request = records.iter().find_map(|record| record.event.request());
-        if !is_trouble && !request.is_some_and(is_sampled) {
+        if !has_failed && !request.is_some_and(is_sampled) {
             return;
         }
-        let second = time::WallTime::now().0 / SECOND_MS;
-        let taken = self.lock().lines.takes(records.len() as u32, second);
-        if let LineAnswer::Again { suppressed } = taken
+        let second = time::WallTime::now().0 / MS_PER_SECOND;
+        let admission = self.lock().line_budget.admit(records.len() as u32, second);
+        if let LineAdmission::AdmittedInNewSecond { suppressed } = admission
             && suppressed > 0
         {
             logging::write(&SuppressedLine {
@@ -209,7 +213,7 @@
                 count: suppressed,
             });
         }
-        if taken != LineAnswer::Suppressed {
+        if admission != LineAdmission::Suppressed {
             for record in records {
                 self.log(record);
             }
@@ -220,47 +224,50 @@
         let level = record_level(&record.event);
         if level <= log::max_level() {
             logging::write(&RecordLine {
-                level: logging::level_word(level),
+                level: logging::level_name(level),
                 instance: &self.instance,
                 record,
             });
         }
     }
 
-    /// Events after a number, in order.
+    /// Returns the retained events after a sequence number, in order.
     pub fn since(&self, since: u64) -> TimelinePage {
         let state = self.lock();
         let system = state.system.since(since);
         let calls = state.calls.since(since);
         let mut events: Vec<TimelineRecord> = system.chain(calls).cloned().collect();
         events.sort_unstable_by_key(|record| record.sequence);
-        let all = state.last.saturating_sub(since);
+        let requested = state.last_sequence.saturating_sub(since);
         TimelinePage {
             instance: self.instance.clone(),
-            last: state.last,
-            dropped: all - events.len() as u64,
+            last: state.last_sequence,
+            dropped: requested - events.len() as u64,
             events,
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, TimelineState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
 
-/// Whether lines may be written.
+/// Whether lines may be logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LineAnswer {
-    Taken,
-    /// They may, and they are the first of a new second.
-    Again {
+enum LineAdmission {
+    Admitted,
+    /// They may be logged, and are the first ones in a new second.
+    AdmittedInNewSecond {
+        /// Number of lines suppressed in the last second that had any.
         suppressed: u64,
     },
     Suppressed,
 }
 
 impl LineBudget {
-    fn takes(&mut self, lines: u32, second: u64) -> LineAnswer {
+    fn admit(&mut self, lines: u32, second: u64) -> LineAdmission {
         if second != self.second {
             let suppressed = self.suppressed;
             *self = Self {
@@ -268,23 +275,29 @@
                 used: lines,
                 ..Self::default()
             };
-            return LineAnswer::Again { suppressed };
+            return LineAdmission::AdmittedInNewSecond { suppressed };
         }
-        if self.used >= CALL_LINES_A_SECOND {
+        if self.used >= MAX_CALL_LINES_PER_SECOND {
             self.suppressed += u64::from(lines);
-            return LineAnswer::Suppressed;
+            return LineAdmission::Suppressed;
         }
         self.used += lines;
-        LineAnswer::Taken
+        LineAdmission::Admitted
     }
 }
 
-/// Whether a request that ended well is logged: by its id, so that every node logs the same ones.
+/// Returns whether a successful request is sampled for the log. The decision is derived from the
+/// request id, so that all nodes log the same requests.
 fn is_sampled(request: &ids::RequestId) -> bool {
-    let sample = logging::sample();
+    let interval = logging::sample_interval();
     let hash = blake3::hash(request.as_str().as_bytes());
-    let number = u64::from_le_bytes(*hash.as_bytes().first_chunk().expect("a hash is longer"));
-    sample > 0 && number.is_multiple_of(sample)
+    let number = u64::from_le_bytes(
+        *hash
+            .as_bytes()
+            .first_chunk()
+            .expect("a hash has more than 8 bytes"),
+    );
+    interval > 0 && number.is_multiple_of(interval)
 }
 
 fn record_level(event: &timeline::TimelineEvent) -> log::Level {
