--- a/crates/daemon/src/claims_task.rs
+++ b/crates/daemon/src/claims_task.rs
@@ -34,7 +34,7 @@
 ) -> Result<(), error::StoreError> {
     let mut records = Vec::new();
     for mut batch in group {
-        if batch.is_whole_file {
+        if batch.is_full_rewrite {
             // The batch includes the content of all earlier records.
             records.clear();
             store.rewrite(&batch.records)?;
--- a/crates/daemon/src/dialect/native.rs
+++ b/crates/daemon/src/dialect/native.rs
@@ -161,7 +161,7 @@
         record,
         lease,
         sequence: None,
-        warm_in: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     }))
 }
 
--- a/crates/daemon/src/disk_writer.rs
+++ b/crates/daemon/src/disk_writer.rs
@@ -35,7 +35,7 @@
     }
 
     fn replaces_all(&self) -> bool {
-        self.is_whole_file
+        self.is_full_rewrite
     }
 }
 
--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -195,7 +195,7 @@
             event::Effect::Dissemination(effect) => self.run_dissemination(effect),
             // Connections to a withdrawn target are closed by the tasks that use them.
             event::Effect::Membership(membership::MembershipEffect::Withdraw(_))
-            | event::Effect::Note(_) => {}
+            | event::Effect::RecordEvent(_) => {}
             event::Effect::Calls(effect) => self.run_call(effect),
             event::Effect::Ledger(ledger::LedgerEffect::Persist(batch)) => {
                 if let Some(claims) = &self.sinks.claims {
--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -18,7 +18,7 @@
     metrics.retry_budget.reset();
     for (service, _class, budget) in state.retry.budgets() {
         let gauge = metrics.retry_budget.with_label_values(&[service.as_str()]);
-        gauge.add(budget.tries() as i64);
+        gauge.add(budget.available() as i64);
     }
 }
 
@@ -78,7 +78,7 @@
         let label = if *name == state.settings.identity.instance {
             "self"
         } else {
-            state.membership.reachability(name).word()
+            state.membership.reachability(name).as_str()
         };
         metrics.members.with_label_values(&[label]).inc();
     }
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -164,7 +164,7 @@
                     .record(TimelineEvent::TargetWithdrawn { target });
             }
             event::Effect::Calls(effect) => self.call_effect(state, effect),
-            event::Effect::Note(event) => self.timeline.record(event.clone()),
+            event::Effect::RecordEvent(event) => self.timeline.record(event.clone()),
             _ => {}
         }
     }
@@ -288,7 +288,7 @@
             calls::RunResult::NotConnected => CallFailure::NotConnected,
             calls::RunResult::Declined => CallFailure::Declined,
             calls::RunResult::WrongTarget => CallFailure::Misplaced,
-            calls::RunResult::Malformed => CallFailure::Unsound,
+            calls::RunResult::Invalid => CallFailure::Unsound,
             calls::RunResult::Crashed => CallFailure::Crashed,
             calls::RunResult::TimedOut => CallFailure::TimedOut,
             calls::RunResult::Truncated => CallFailure::Cut,
--- a/crates/daemon/src/observer/usage.rs
+++ b/crates/daemon/src/observer/usage.rs
@@ -149,7 +149,7 @@
         self.excess_routes = UsageTotals::default();
         let drained = self.routes.drain(..);
         let usages = drained.map(|(route, totals)| (route, totals.usage()));
-        let mut reported: Vec<_> = usages.filter(|(_, usage)| usage.is_trouble()).collect();
+        let mut reported: Vec<_> = usages.filter(|(_, usage)| usage.has_failures()).collect();
         reported.sort_by_key(|(_, usage)| std::cmp::Reverse(usage.refused + usage.declined));
         reported.truncate(MAX_REPORTED_ROUTES);
         for (route, usage) in reported {
--- a/crates/daemon/src/operators/revision.rs
+++ b/crates/daemon/src/operators/revision.rs
@@ -60,7 +60,7 @@
 async fn remote_leader(context: &process::ProcessContext) -> Option<std::net::SocketAddr> {
     let lookup = |state: &hazeltiller_engine::reducer::EngineState| {
         let leader = state.replication.as_ref()?.live_leader(state)?;
-        state.membership.at(leader)?.operators
+        state.membership.member_at(leader)?.operators
     };
     context.engine.inspect(lookup).await.flatten()
 }
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -219,7 +219,7 @@
             }
             dialect::ResponseVerdict::Invalid => {
                 let unsound = wire::CallRefusal::unknown(code::ResultCode::AnswerUnsound);
-                return self.refuse(calls::RunResult::Malformed, unsound);
+                return self.refuse(calls::RunResult::Invalid, unsound);
             }
         }
         let max_bytes = context.request_tunables.answer_hold_bytes;
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -83,7 +83,7 @@
     let contacts = next.contacts();
     if contacts != current.contacts() {
         log::info!("addresses of controls changed to {contacts:?}");
-        let event = membership::MembershipEvent::Contacts(contacts);
+        let event = membership::MembershipEvent::ControlsChanged(contacts);
         context.engine.tell(event::Event::Membership(event));
     }
     logging::set_level(&next.log);
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -187,7 +187,7 @@
         self.installation.apply(&mut tunables);
         for (group, names) in &self.given_tunables {
             for (name, value) in names {
-                let tunable = tunables.place(group, name);
+                let tunable = tunables.value_mut(group, name);
                 let unknown = || serde_json::Error::custom(format!("no {group}.{name}"));
                 *tunable.ok_or_else(unknown)? = *value;
             }
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -185,7 +185,7 @@
             at,
             event,
         };
-        let ring = if record.event.is_of_calls() {
+        let ring = if record.event.is_call_event() {
             &mut state.calls
         } else {
             &mut state.system
@@ -196,7 +196,7 @@
 
     /// Logs all events of a request that has ended, if it has failed or is sampled.
     pub fn log_request(&self, records: &[TimelineRecord]) {
-        let has_failed = records.iter().any(|record| record.event.is_trouble());
+        let has_failed = records.iter().any(|record| record.event.needs_attention());
         let request = records.iter().find_map(|record| record.event.request());
         if !has_failed && !request.is_some_and(is_sampled) {
             return;
@@ -301,7 +301,7 @@
 }
 
 fn record_level(event: &timeline::TimelineEvent) -> log::Level {
-    if event.is_trouble() {
+    if event.needs_attention() {
         log::Level::Warn
     } else {
         log::Level::Info
