--- a/crates/units/src/ids.rs
+++ b/crates/units/src/ids.rs
@@ -1,31 +1,31 @@
-//! Names and numbers that identify things.
+//! Names, numbers and digests that identify the objects of the system.
 //!
-//! A name is short and printable so that it can stand in a header, a file name and a log line
-//! without escaping; that is checked by [`std::str::FromStr`] and by deserialization alike.
+//! Names are short and printable, so that they can be used in headers, file names and log lines
+//! without escaping. Both [`std::str::FromStr`] and deserialization enforce this.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use snafu::Snafu;
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 96;
 
-/// Why a text is not a name.
+/// Error for a text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
     "{text:?} is not a {role}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.' or ':' are allowed"
 ))]
 pub struct NameError {
-    /// The role of the name, such as "service name".
+    /// Kind of name that was expected, such as "instance name".
     role: &'static str,
-    /// The text that was refused, cut to a printable length.
+    /// The rejected text, truncated to the maximum length of a name.
     text: String,
 }
 
 fn is_name(text: &str) -> bool {
-    let printable = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
-    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(printable)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(is_allowed)
 }
 
 macro_rules! name_type {
@@ -36,7 +36,7 @@
         pub struct $type(Arc<str>);
 
         impl $type {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -78,7 +78,7 @@
 }
 
 name_type!(
-    /// Unique name of one process of the system.
+    /// Name of a process of the system, unique within the fleet.
     InstanceName,
     "instance name"
 );
@@ -88,7 +88,7 @@
     "data centre name"
 );
 name_type!(
-    /// Name of a region: data centres that a change of route can spill between cheaply.
+    /// Name of a region: a group of data centres between which calls can spill over at low cost.
     RegionName,
     "region name"
 );
@@ -98,27 +98,28 @@
     "entry name"
 );
 name_type!(
-    /// Name that a target announces itself by, unique within the fleet.
+    /// Name under which a target announces itself, unique within the fleet.
     TargetName,
     "target name"
 );
 name_type!(
-    /// Version of a target's software, as the target tells it.
+    /// Version of a target's software, as the target reports it.
     SoftwareVersion,
     "software version"
 );
 name_type!(
-    /// Name of an operator, as it stands in an owner's entry.
+    /// Name of an operator, as listed in owner entries.
     OperatorName,
     "operator name"
 );
 name_type!(
-    /// Id that an operator gives a change, so that a resend is known for one.
+    /// Id that an operator gives a change, by which a resend is recognised.
     ChangeId,
     "change id"
 );
 name_type!(
-    /// Id of a caller's request: the same at every hop, try and resend within the system.
+    /// Id of a caller's request. It is the same for all hops, attempts and resends within the
+    /// system.
     RequestId,
     "request id"
 );
@@ -133,7 +134,7 @@
         pub struct $type(pub u64);
 
         impl $type {
-            /// The number after this one.
+            /// Returns the next number.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -157,16 +158,17 @@
 }
 
 number_type!(
-    /// Version of the catalogue: 0 before the first accepted change, then growing by one a change.
+    /// Version of the catalogue: 0 before the first accepted change, then incremented by each
+    /// change.
     CatalogueVersion
 );
 number_type!(
-    /// Label that operators give a revision of the whole catalogue: 0 before the first, then
-    /// larger with each one, in steps of any size.
+    /// Label that operators give a revision of the whole catalogue: 0 before the first revision,
+    /// and larger with each further one, by any amount.
     RevisionLabel
 );
 number_type!(
-    /// Term of a leader of the control group.
+    /// Term of a leader of the control group, as in Raft.
     LeaderTerm
 );
 number_type!(
@@ -174,26 +176,27 @@
     LogPosition
 );
 number_type!(
-    /// Durable state of one control instance: drawn at random when its folder is first used, so
-    /// that an emptied folder is another replica.
+    /// Id of a replica of the log, stored in the data folder of a control instance. Chosen at
+    /// random when the folder is first used, so that an instance whose folder was emptied counts as
+    /// a new replica.
     ReplicaId
 );
 number_type!(
-    /// One control group: drawn at random when the group is founded.
+    /// Id of a control group, chosen at random when the group is formed.
     GroupId
 );
 number_type!(
-    /// One call on its way through one process; never reused while the process lives.
+    /// Id of a call within a process; not reused until the process restarts.
     CallId
 );
 number_type!(
-    /// One life of a process or a target: larger after each restart.
+    /// Incarnation of a process or a target: increases with each restart.
     IncarnationNumber
 );
 
-/// Digest of a catalogue and of all changes that led to it, 32 bytes, written as hexadecimal.
+/// A 32-byte digest, of a catalogue with its history or of other content.
 ///
-/// Between processes it travels as its bytes.
+/// Text formats represent it in hexadecimal, the binary encoding as its bytes.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct StateDigest(pub [u8; 32]);
 
@@ -230,7 +233,7 @@
     }
 }
 
-/// Why a text is not a digest.
+/// Error for a text that is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("a digest is 64 hexadecimal digits"))]
 pub struct DigestError;
--- a/crates/units/src/jsonc.rs
+++ b/crates/units/src/jsonc.rs
@@ -1,20 +1,20 @@
-//! JSON with comments, the one form of every file that people write.
+//! JSON with comments, the format of all files that people write.
 //!
-//! Comments and trailing commas are allowed; everything else is strict JSON, so that a file which
-//! loads here loads in other tools once its comments are gone.
+//! Comments and trailing commas are allowed. Everything else is strict JSON, so that other tools
+//! can read a file once these are removed.
 
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// Why a text was not read.
+/// Error for a text that cannot be parsed.
 #[derive(Debug, Snafu)]
 #[snafu(display("{message}"))]
 pub struct JsoncError {
-    /// What is wrong, with line and column where they are known.
+    /// Description of the error, with line and column if known.
     message: String,
 }
 
-/// Reads a text as JSON with comments.
+/// Parses JSON with comments.
 pub fn parse_jsonc<T: DeserializeOwned>(text: &str) -> Result<T, JsoncError> {
     let options = jsonc_parser::ParseOptions {
         allow_comments: true,
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,8 +1,8 @@
-//! The small value types that every other crate speaks in.
+//! Basic value types shared by all other crates.
 //!
-//! Ids, sizes, rates and times stand apart from bare strings and numbers so that one can't be
-//! passed for another, and so that text is checked once, where it enters the system. Nothing in
-//! here knows about the network, the disk or the catalogue.
+//! Ids, rates and times have types of their own instead of bare strings and numbers, so that one
+//! cannot be mistaken for another and text is validated once, where it enters the system. This
+//! crate does not depend on the network, the disk or the catalogue.
 
 pub mod code;
 pub mod ids;
--- a/crates/units/src/measure.rs
+++ b/crates/units/src/measure.rs
@@ -1,24 +1,24 @@
-//! Sizes and rates as operators write them.
+//! Rates in the notation of the catalogue.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Why a text is not a rate.
+/// Error for a text that is not a rate.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{text:?} is not a rate: a number and \"/s\" are expected, such as \"500/s\""))]
 pub struct RateError {
     text: String,
 }
 
-/// Calls a second, weighted by their cost; written `500/s`.
+/// Rate of calls, weighted by their cost; written `500/s`.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct CallRate(f64);
 
 impl CallRate {
-    /// Cost units a second.
+    /// Returns the rate in cost units per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
--- a/crates/units/src/time.rs
+++ b/crates/units/src/time.rs
@@ -1,10 +1,11 @@
-//! Times as plain numbers, so that the reducer needs no clock.
+//! Times as plain numbers, so that the reducer does not have to read a clock.
 
 use std::{fmt, ops::Add, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since the process started; never goes back. Compared only within one process.
+/// Microseconds since the process started, by a monotonic clock. Only comparable within one
+/// process.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -12,7 +13,7 @@
 pub struct MonotonicTime(pub u64);
 
 impl MonotonicTime {
-    /// Time from `earlier` to this one; zero when `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -33,7 +34,8 @@
     }
 }
 
-/// Milliseconds since 1970 by the machine's own clock. Shown to people; no decision rests on it.
+/// Milliseconds since the Unix epoch by the machine's clock. Only displayed; no decision depends on
+/// it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -41,7 +43,7 @@
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// The machine's clock, now.
+    /// Reads the machine's clock.
     pub fn now() -> Self {
         let since_epoch = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
