--- a/crates/engine/src/ledger/acceptor.rs
+++ b/crates/engine/src/ledger/acceptor.rs
@@ -168,7 +168,8 @@
     let is_retention_over = now.since(time::MonotonicTime::default()) >= retention;
     let is_proven_complete =
         acceptor.standing == wire::ClaimsCompleteness::Unproven && is_founding_replica;
-    if acceptor.standing != wire::ClaimsCompleteness::Whole && (is_retention_over || is_proven_complete)
+    if acceptor.standing != wire::ClaimsCompleteness::Whole
+        && (is_retention_over || is_proven_complete)
     {
         acceptor.standing = wire::ClaimsCompleteness::Whole;
         let record = wire::ClaimRecord::Standing(acceptor.standing);
--- a/crates/engine/tests/replication/network.rs
+++ b/crates/engine/tests/replication/network.rs
@@ -252,7 +252,10 @@
             version >= self.controls[index].version,
             "the catalogue version decreased"
         );
-        assert!(log.committed().has_valid_digest(), "the digest matches the content");
+        assert!(
+            log.committed().has_valid_digest(),
+            "the digest matches the content"
+        );
         for (id, receipt) in &self.acknowledged {
             if receipt.version <= version {
                 let stored = log.accepted(id).map(|accepted| &accepted.receipt);
