--- a/crates/catalogue/src/rollout.rs
+++ b/crates/catalogue/src/rollout.rs
@@ -24,7 +24,7 @@
     Trial,
     /// All targets with the new version receive a larger share of the calls.
     Widening,
-    /// All calls go to the new version; the old targets are kept for a rollback.
+    /// All calls go to the new version; the old targets must not be stopped yet.
     Switched,
     /// The roll-out is complete; the old targets may be stopped.
     Succeeded,
--- a/crates/wire/src/ledger.rs
+++ b/crates/wire/src/ledger.rs
@@ -1,7 +1,7 @@
-//! Claims on requests with an idempotency key.
+//! Claims on requests, which ensure that a request runs at most once.
 //!
-//! A node must hold the claim on a request before it runs it, so that the request runs at most
-//! once. Other nodes ask the holder for the result.
+//! A node claims a request at a majority of the controls before it sends the request to a target.
+//! Other nodes that receive the same request ask the holder of the claim for the result.
 
 use std::{fmt, net::SocketAddr};
 
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -164,8 +164,8 @@
     Voter,
 }
 
-/// Information that a replica sends about itself to control addresses at which it does not yet
-/// know the replicas.
+/// Information that a replica sends about itself to processes at control addresses whose replicas
+/// it may not know yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIntroduction {
     /// Status of the sender.
