--- a/src/changes.rs
+++ b/src/changes.rs
@@ -1,4 +1,4 @@
-//! Sending one change, and waiting until it is in force everywhere.
+//! Sends a change and waits until it is in force on all nodes.
 
 use std::time::{Duration, Instant};
 
@@ -10,26 +10,26 @@
 
 use crate::session;
 
-/// Time between two looks at how far a change has come.
-const WAIT_PERIOD: Duration = Duration::from_millis(100);
-/// Longest wait; the change stays accepted all the same.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Time between two polls of the convergence of a change.
+const POLL_PERIOD: Duration = Duration::from_millis(100);
+/// Longest wait for convergence. The change stays accepted after it.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// How a change is sent.
+/// Options of the commands that send a change.
 #[derive(Debug, Clone, Bpaf)]
 pub struct ChangeOptions {
-    /// Version that the change was decided on; absent: the one read just before
+    /// Catalogue version that the change is based on; default: the current one
     #[bpaf(argument("VERSION"))]
     expects: Option<ids::CatalogueVersion>,
-    /// Id that makes a resend known for one; absent: a new one is made and printed
+    /// Id by which a resend of the change is recognised; default: a new one, which is printed
     #[bpaf(argument("ID"))]
     change_id: Option<ids::ChangeId>,
-    /// Wait until the change is in force everywhere, printing how far it has come
+    /// Wait until the change is in force on all nodes, and print the progress
     wait: bool,
 }
 
 impl ChangeOptions {
-    /// The id that was given, or a new one.
+    /// Returns the id given on the command line, or a new one.
     pub fn change_id(&self) -> ids::ChangeId {
         self.change_id.clone().unwrap_or_else(new_change_id)
     }
@@ -40,7 +40,7 @@
     version: ids::CatalogueVersion,
 }
 
-/// What a refused change is answered with.
+/// Response to a change that is refused.
 #[derive(Debug, Deserialize)]
 struct RefusalDocument {
     code: code::ResultCode,
@@ -51,25 +51,26 @@
     faults: Vec<change::CatalogueFault>,
 }
 
-/// How far a version has come.
+/// Convergence of a catalogue version.
 #[derive(Debug, Deserialize)]
 pub struct ConvergenceDocument {
-    /// The version.
+    /// The catalogue version.
     pub version: ids::CatalogueVersion,
-    /// When it was accepted, in milliseconds since 1970.
+    /// Time at which the version was accepted, in milliseconds since 1970.
     pub accepted_at_ms: Option<u64>,
-    /// Nodes that are known.
+    /// Number of known nodes.
     pub nodes_known: u64,
-    /// Nodes that have it, or a later one, in force.
+    /// Number of nodes on which this version or a later one is in force.
     pub nodes_in_force: u64,
-    /// When the last one had it, in milliseconds since 1970; absent while one has not.
+    /// Time from which the version was in force on all nodes, in milliseconds since 1970. Absent
+    /// until then.
     pub in_force_everywhere_at_ms: Option<u64>,
-    /// Names of those that have not, with what is known of them.
+    /// Nodes on which the version is not in force yet, with their name and reachability.
     #[serde(default)]
     pub behind: Vec<serde_json::Value>,
 }
 
-/// Sends a change as the options say and prints the answer.
+/// Builds a change request from the options, sends it and prints the response.
 pub async fn send_change(
     session: &session::SessionOptions,
     options: &ChangeOptions,
@@ -91,15 +92,15 @@
     send_request(session, options, request).await
 }
 
-/// Reads the revision in place; of label 0 where there is none.
-pub async fn revision(
+/// Reads the current revision. Its label is 0 if there is none.
+pub async fn fetch_revision(
     session: &session::SessionOptions,
 ) -> Result<change::CatalogueRevision, session::CommandError> {
     let document = session.fetch("/v1/revision").await?;
-    serde_json::from_value(document).map_err(|error| session::unreadable(&error))
+    serde_json::from_value(document).map_err(|error| session::invalid_response(&error))
 }
 
-/// Sends a change request and prints the answer.
+/// Sends a change request and prints the response.
 pub async fn send_request(
     session: &session::SessionOptions,
     options: &ChangeOptions,
@@ -107,7 +108,7 @@
 ) -> Result<(), session::CommandError> {
     let body = serde_json::to_vec(&request).expect("entries have only text keys");
     let response = session.send(Method::POST, "/v1/changes", body).await;
-    let response = response.map_err(|error| with_change_id(error, &request.change_id))?;
+    let response = response.map_err(|error| add_resend_advice(error, &request.change_id))?;
     if response.status() != StatusCode::OK {
         return Err(refusal(
             response.status(),
@@ -115,7 +116,7 @@
             &request.change_id,
         ));
     }
-    let receipt: change::ChangeReceipt = session::read_answer(response.body())?;
+    let receipt: change::ChangeReceipt = session::parse_response(response.body())?;
     match session.output {
         session::OutputForm::Json => println!("{}", String::from_utf8_lossy(response.body())),
         session::OutputForm::Text => {
@@ -126,38 +127,38 @@
         }
     }
     if options.wait {
-        return wait_in_force(session, receipt.version).await;
+        return wait_for_convergence(session, receipt.version).await;
     }
     if session.output == session::OutputForm::Text {
         println!(
-            "see how far it has come: hazeltiller convergence {}",
+            "to follow its convergence, run: hazeltiller convergence {}",
             receipt.version
         );
     }
     Ok(())
 }
 
-/// Reads how far a version has come.
-pub async fn convergence(
+/// Reads the convergence of a version.
+pub async fn fetch_convergence(
     session: &session::SessionOptions,
     version: ids::CatalogueVersion,
 ) -> Result<ConvergenceDocument, session::CommandError> {
     let document = session.fetch(&format!("/v1/convergence/{version}")).await?;
-    serde_json::from_value(document).map_err(|error| session::unreadable(&error))
+    serde_json::from_value(document).map_err(|error| session::invalid_response(&error))
 }
 
-async fn wait_in_force(
+async fn wait_for_convergence(
     session: &session::SessionOptions,
     version: ids::CatalogueVersion,
 ) -> Result<(), session::CommandError> {
     let started = Instant::now();
-    let mut shown = None;
-    while started.elapsed() < LONGEST_WAIT {
-        let document = convergence(session, version).await?;
+    let mut printed = None;
+    while started.elapsed() < MAX_WAIT {
+        let document = fetch_convergence(session, version).await?;
         let progress = (document.nodes_in_force, document.nodes_known);
-        if shown != Some(progress) {
+        if printed != Some(progress) {
             eprintln!("in force on {} of {} nodes", progress.0, progress.1);
-            shown = Some(progress);
+            printed = Some(progress);
         }
         if let Some(at) = document.in_force_everywhere_at_ms {
             let took = document
@@ -166,12 +167,12 @@
             eprintln!("in force everywhere {took} ms after it was accepted");
             return Ok(());
         }
-        tokio::time::sleep(WAIT_PERIOD).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
     Err(session::CommandError {
         code: code::ResultCode::NotConverged,
-        message: format!("version {version} is accepted, but nodes are behind after 60 s"),
-        advice: "hazeltiller convergence names the nodes that are behind".into(),
+        message: format!("version {version} is accepted, but not in force on all nodes after 60 s"),
+        advice: "run `hazeltiller convergence` to list the nodes that are behind".into(),
         exit: session::EXIT_REFUSED,
     })
 }
@@ -185,7 +186,7 @@
     if response.status() != StatusCode::OK {
         return Err(session::refusal(response.body()));
     }
-    let document: VersionDocument = session::read_answer(response.body())?;
+    let document: VersionDocument = session::parse_response(response.body())?;
     Ok(document.version)
 }
 
@@ -193,23 +194,24 @@
     let number: u128 = rand::random();
     format!("change-{number:032x}")
         .parse()
-        .expect("letters, digits and a dash make a name")
+        .expect("the generated id has only letters, digits and a dash")
 }
 
-fn with_change_id(
+fn add_resend_advice(
     mut error: session::CommandError,
     change_id: &ids::ChangeId,
 ) -> session::CommandError {
     if error.exit == session::EXIT_UNKNOWN {
-        error.advice = format!("it may have been accepted: resend it with --change-id {change_id}");
+        error.advice =
+            format!("the change may have been accepted: resend it with --change-id {change_id}");
     }
     error
 }
 
 fn refusal(status: StatusCode, body: &[u8], change_id: &ids::ChangeId) -> session::CommandError {
-    let document: RefusalDocument = match session::read_answer(body) {
+    let document: RefusalDocument = match session::parse_response(body) {
         Ok(document) => document,
-        Err(error) => return with_change_id(error, change_id),
+        Err(error) => return add_resend_advice(error, change_id),
     };
     let mut message = document.message;
     for fault in document.faults {
@@ -235,7 +237,7 @@
         code::ResultCode::VersionClash => format!("the current version is {}", document.version),
         _ => String::new(),
     };
-    with_change_id(
+    add_resend_advice(
         session::CommandError {
             code: document.code,
             message,
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands, a file each.
+//! The subcommands of the command line tool, one per file.
 
 mod apply;
 mod check;
@@ -19,19 +19,19 @@
 
 use bpaf::Bpaf;
 
-/// Works with a hazeltiller system.
+/// Operates a hazeltiller system.
 ///
 /// Exit codes: 0 done, 1 refused, 2 wrong usage or invalid input, 3 outcome unknown.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum RootCommand {
-    /// Run a whole small fleet in one process and report what became of each request
+    /// Run a small fleet in one process and report the outcome of the requests sent to it
     ///
     ///
     /// Example: hazeltiller demo --stay
     #[bpaf(command)]
     Demo(#[bpaf(external(demo::demo_command))] demo::DemoCommand),
-    /// Check a catalogue file or a settings file without any process
+    /// Check a catalogue file or a settings file offline
     ///
     ///
     /// Example: hazeltiller check examples/register/catalogue.jsonc
@@ -82,31 +82,31 @@
     /// Print the targets that a process knows
     #[bpaf(command)]
     Targets(#[bpaf(external(read::page_command))] read::PageCommand),
-    /// Print on how many nodes a version is in force, and which are behind
+    /// Print on how many nodes a version is in force, and which nodes are behind
     ///
     ///
     /// Example: hazeltiller convergence --operators 127.0.0.1:7002 12
     #[bpaf(command)]
     Convergence(#[bpaf(external(read::convergence_command))] read::ConvergenceCommand),
-    /// Print the events of every process that can be reached, in causal order
+    /// Print the events of all reachable processes in causal order
     ///
     ///
     /// Example: hazeltiller timeline --operators 127.0.0.1:7002 --version 12
     #[bpaf(command)]
     Timeline(#[bpaf(external(timeline::timeline_command))] timeline::TimelineCommand),
-    /// Print the course of one request, from logs, and why it ended as it did
+    /// Trace one request through the logs of the processes and print why it ended as it did
     ///
     ///
     /// Example: hazeltiller explain 9c41d07be2a35f68 node-1.log node-2.log
     #[bpaf(command)]
     Explain(#[bpaf(external(explain::explain_command))] explain::ExplainCommand),
-    /// Show or change who votes in the control group
+    /// Show or change the voters of the control group
     ///
     ///
     /// Example: hazeltiller control add --operators 127.0.0.1:7002 control-brasov-b-1
     #[bpaf(command)]
     Control(#[bpaf(external(control::control_command))] control::ControlCommand),
-    /// Move a service's calls to targets of another version, and see how far that is
+    /// Roll a service out to another version, or show the progress of a roll-out
     ///
     ///
     /// Example: hazeltiller rollout start --operators 127.0.0.1:7002 --to v2 --within 12s registru
@@ -118,19 +118,19 @@
     /// Example: hazeltiller stand-in --node 127.0.0.1:7111 --name registru-1 --service registru
     #[bpaf(command)]
     StandIn(#[bpaf(external(stand_in::stand_in_command))] stand_in::StandInCommand),
-    /// Send requests at a given rate and prove what became of each
+    /// Send requests at a given rate and check their outcomes against the targets' logs
     ///
     ///
     /// Example: hazeltiller load --node 127.0.0.1:7110 --path '/vehicles/{n}' --rate 200
     #[bpaf(command)]
     Load(#[bpaf(external(load::load_command))] load::LoadCommand),
-    /// Print the hash of a token, as it stands under "tokens" in an owner's entry
+    /// Print the hash of a token for the field "tokens" of an owner's entry
     ///
     ///
     /// Example: hazeltiller token-hash ana.token
     #[bpaf(command("token-hash"))]
     TokenHash(#[bpaf(external(token::token_command))] token::TokenCommand),
-    /// Print every result code, or one
+    /// Print all result codes, or one
     ///
     ///
     /// Example: hazeltiller codes HZ3003
@@ -138,9 +138,9 @@
     Codes(#[bpaf(external(codes::codes_command))] codes::CodesCommand),
 }
 
-/// Columns of the accepted changes.
+/// Columns printed for each accepted change.
 const HISTORY_COLUMNS: [&str; 3] = ["version", "accepted_at_ms", "change_id"];
-/// Columns of the targets.
+/// Columns printed for each target.
 const TARGET_COLUMNS: [&str; 7] = [
     "name",
     "service",
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller apply` and `hazeltiller remove`: one command, one change.
+//! `hazeltiller apply` and `hazeltiller remove`: send one change.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -16,10 +16,10 @@
     session: session::SessionOptions,
     #[bpaf(external(changes::change_options))]
     options: changes::ChangeOptions,
-    /// Make the entries of the file the whole catalogue, as the revision of this label
+    /// Replace the whole catalogue by the entries of the file, as a revision with this label
     #[bpaf(argument("LABEL"))]
     replace: Option<ids::RevisionLabel>,
-    /// With --replace: label of the revision that it builds on; absent: the one in place
+    /// With --replace: label of the revision that it is based on; default: the current one
     #[bpaf(argument("LABEL"))]
     base: Option<ids::RevisionLabel>,
     /// Catalogue file, JSON with comments
@@ -35,7 +35,7 @@
     session: session::SessionOptions,
     #[bpaf(external(changes::change_options))]
     options: changes::ChangeOptions,
-    /// owner, class, service or route
+    /// Kind of the entry: owner, class, service or route
     #[bpaf(positional("KIND"))]
     kind: entry::EntryKind,
     /// Name of the entry
@@ -56,7 +56,7 @@
         };
         let base = match self.base {
             Some(base) => base,
-            None => changes::revision(&self.session).await?.label,
+            None => changes::fetch_revision(&self.session).await?.label,
         };
         let mark = change::ReplacementMark {
             label,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads a catalogue file.
+/// Reads a catalogue file as a change.
 pub fn read_change(path: &std::path::Path) -> Result<change::ChangeSet, session::CommandError> {
     let text = session::read_file(path)?;
     file::parse_file(&text).map_err(|error| session::file_error(path, &error.to_string()))
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller check`: looks a file over without any process.
+//! `hazeltiller check`: checks a file offline.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -40,14 +40,11 @@
         let set = apply::read_change(&self.file)?;
         let applied = state::CatalogueState::default().apply(&set, ids::LeaderTerm(0));
         let faults = applied.err().unwrap_or_default();
-        let (open, wrong): (Vec<_>, Vec<_>) = faults.into_iter().partition(needs_catalogue);
-        for fault in &open {
-            println!(
-                "note: {}: it must be in the catalogue already",
-                fault.message
-            );
+        let (unresolved, invalid): (Vec<_>, Vec<_>) = faults.into_iter().partition(needs_catalogue);
+        for fault in &unresolved {
+            println!("note: {}: must already be in the catalogue", fault.message);
         }
-        if wrong.is_empty() {
+        if invalid.is_empty() {
             println!(
                 "sound: {} to put, {} to remove",
                 set.put.len(),
@@ -55,8 +52,8 @@
             );
             return Ok(());
         }
-        let lines: Vec<String> = wrong.iter().map(describe).collect();
-        let code = wrong[0].code;
+        let lines: Vec<String> = invalid.iter().map(describe).collect();
+        let code = invalid[0].code;
         Err(session::CommandError::new(
             code,
             lines.join("\n  "),
@@ -65,7 +62,8 @@
     }
 }
 
-/// Whether a fault may only be one because the file is looked at without a catalogue.
+/// Whether a fault depends on the entries that are already in the catalogue, which is not known
+/// offline.
 fn needs_catalogue(fault: &change::CatalogueFault) -> bool {
     let codes = [
         code::ResultCode::ReferenceMissing,
--- a/src/commands/codes.rs
+++ b/src/commands/codes.rs
@@ -1,11 +1,11 @@
-//! `hazeltiller codes`: the table of result codes.
+//! `hazeltiller codes`: prints the table of result codes.
 
 use std::process::ExitCode;
 
 use bpaf::Bpaf;
 use hazeltiller_units::code;
 
-/// Print every result code, or one
+/// Print all result codes, or one
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct CodesCommand {
@@ -17,8 +17,8 @@
 impl CodesCommand {
     /// Runs the command.
     pub fn execute(self) -> ExitCode {
-        let wanted = |code: &&code::ResultCode| self.code.is_none_or(|wanted| wanted == **code);
-        for code in code::ResultCode::ALL.iter().filter(wanted) {
+        let is_wanted = |code: &&code::ResultCode| self.code.is_none_or(|wanted| wanted == **code);
+        for code in code::ResultCode::ALL.iter().filter(is_wanted) {
             println!("{code}  {}; {}", code.meaning(), code.advice());
         }
         ExitCode::SUCCESS
--- a/src/commands/control.rs
+++ b/src/commands/control.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller control`: who votes in the control group.
+//! `hazeltiller control`: shows and changes the voters of the control group.
 
 use std::process::ExitCode;
 
@@ -10,20 +10,20 @@
 use super::read;
 use crate::session;
 
-/// Columns of the group's members.
+/// Columns printed for each member of the group.
 const MEMBER_COLUMNS: [&str; 5] = ["instance", "is_voter", "is_alive", "matched", "address"];
 
-/// What is done with the control group
+/// Show or change the voters of the control group
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub enum ControlCommand {
-    /// Print the voters and the learners that the leader has met
+    /// Print the voters and the learners known to the leader
     #[bpaf(command)]
     List {
         #[bpaf(external(session::session_options))]
         session: session::SessionOptions,
     },
-    /// Make a learner that has caught up a voter
+    /// Promote a learner whose log has caught up to a voter
     #[bpaf(command)]
     Add {
         #[bpaf(external(session::session_options))]
@@ -32,7 +32,7 @@
         #[bpaf(positional("INSTANCE"))]
         instance: ids::InstanceName,
     },
-    /// Take an instance's vote, before it is replaced or for good
+    /// Remove a voter, permanently or before it is replaced
     #[bpaf(command)]
     Remove {
         #[bpaf(external(session::session_options))]
@@ -85,11 +85,11 @@
     if response.status() != StatusCode::OK {
         return Err(refusal(response.status(), response.body()));
     }
-    let document: Value = session::read_answer(response.body())?;
+    let document: Value = session::parse_response(response.body())?;
     match session.output {
         session::OutputForm::Json => println!("{document}"),
         session::OutputForm::Text => {
-            println!("done; the voters are:");
+            println!("voters changed; the voters are now:");
             print_members(&document["voters"]);
         }
     }
@@ -97,7 +97,7 @@
 }
 
 fn print_members(members: &Value) {
-    for line in read::table(
+    for line in read::format_table(
         members.as_array().map_or(&[], Vec::as_slice),
         &MEMBER_COLUMNS,
     ) {
@@ -113,7 +113,7 @@
         error.message.push_str(&format!("\n  {message}"));
     }
     if error.code == code::ResultCode::OutcomeUnknown || status == StatusCode::GATEWAY_TIMEOUT {
-        error.advice = "see `hazeltiller control list`, then run the command again".into();
+        error.advice = "check `hazeltiller control list`, then run the command again".into();
         error.exit = session::EXIT_UNKNOWN;
     }
     error
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -1,4 +1,5 @@
-//! `hazeltiller demo`: the whole system in one process, under a change, a drain and a crash.
+//! `hazeltiller demo`: runs a fleet in one process under load, with a change of the catalogue, a
+//! draining target and a crashing one.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -11,21 +12,21 @@
     session,
 };
 
-/// Run a whole small fleet in one process and report what became of each request
+/// Run a small fleet in one process and report the outcome of the requests sent to it
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct DemoCommand {
-    /// Leave the fleet running and print its addresses and lines to try
+    /// Keep the fleet running afterwards, and print its addresses and commands to try
     stay: bool,
-    /// text or json
+    /// Output format: text or json
     #[bpaf(argument("FORM"), fallback(session::OutputForm::Text))]
     output: session::OutputForm,
 }
 
-/// Time that requests flow before, between and after what happens to the fleet.
-const STEP: Duration = Duration::from_millis(700);
-/// Time that the crashed target is gone.
-const CRASH_PAUSE: Duration = Duration::from_millis(300);
+/// Time under load before, between and after the events of the demo.
+const STEP_DURATION: Duration = Duration::from_millis(700);
+/// Time until the crashed target restarts.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(300);
 
 impl DemoCommand {
     /// Runs the command.
@@ -39,24 +40,24 @@
             session::CommandError::new(code, error.to_string(), session::EXIT_REFUSED)
         };
         let fleet = fleet::DemoFleet::start().await.map_err(failed)?;
-        let report = self.play(&fleet).await.map_err(failed)?;
+        let report = self.run_scenario(&fleet).await.map_err(failed)?;
         match self.output {
             session::OutputForm::Text => print!("{report}"),
             session::OutputForm::Json => {
                 println!(
                     "{}",
-                    serde_json::to_string(&report).expect("it has only text keys")
+                    serde_json::to_string(&report).expect("the report has only text keys")
                 );
             }
         }
         if self.stay {
-            print_lines(&fleet);
+            print_hints(&fleet);
             drop(tokio::signal::ctrl_c().await);
         }
         if report.is_clean() {
             return Ok(());
         }
-        let message = "requests were lost or doubled".into();
+        let message = "requests were lost or ran twice".into();
         let code = code::ResultCode::DemoFailed;
         Err(session::CommandError::new(
             code,
@@ -65,25 +66,28 @@
         ))
     }
 
-    async fn play(&self, fleet: &fleet::DemoFleet) -> Result<report::DemoReport, fleet::DemoError> {
-        let first = fleet.apply_catalogue().await?;
-        self.say(&format!(
-            "the Register's catalogue is in force on 4 nodes after {first:.1?}"
+    async fn run_scenario(
+        &self,
+        fleet: &fleet::DemoFleet,
+    ) -> Result<report::DemoReport, fleet::DemoError> {
+        let initial = fleet.apply_catalogue().await?;
+        self.print_progress(&format!(
+            "the Register's catalogue is in force on 4 nodes after {initial:.1?}"
         ));
         fleet.wait_targets().await?;
         let traffic = traffic::DemoTraffic::start(&fleet.callers());
-        time::sleep(STEP).await;
+        time::sleep(STEP_DURATION).await;
         let convergence = fleet.change_route().await?;
-        self.say(&format!(
-            "a route was changed while requests ran: {convergence:.1?}"
+        self.print_progress(&format!(
+            "a route was changed under load; in force on all nodes after {convergence:.1?}"
         ));
-        time::sleep(STEP).await;
+        time::sleep(STEP_DURATION).await;
         fleet.targets[0].drain().await;
-        self.say("one target drains");
-        time::sleep(STEP).await;
-        fleet.targets[1].crash(CRASH_PAUSE);
-        self.say("another target's connections were killed");
-        time::sleep(STEP).await;
+        self.print_progress("one target is draining");
+        time::sleep(STEP_DURATION).await;
+        fleet.targets[1].crash(CRASH_DOWNTIME);
+        self.print_progress("another target crashed");
+        time::sleep(STEP_DURATION).await;
         let requests = traffic.stop().await;
         let mut report = report::DemoReport::count(&requests, &fleet.targets);
         report.convergence_ms = convergence.as_millis() as u64;
@@ -91,15 +95,15 @@
         Ok(report)
     }
 
-    fn say(&self, line: &str) {
+    fn print_progress(&self, line: &str) {
         if self.output == session::OutputForm::Text {
             println!("{line}");
         }
     }
 }
 
-fn print_lines(fleet: &fleet::DemoFleet) {
-    println!("\nthe fleet stays until you interrupt it:");
+fn print_hints(fleet: &fleet::DemoFleet) {
+    println!("\nthe fleet runs until you interrupt it:");
     println!("control  {}", fleet.control.addresses);
     for node in &fleet.nodes {
         println!("node     {}", node.addresses);
--- a/src/commands/diff.rs
+++ b/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller diff`: what a file would change.
+//! `hazeltiller diff`: prints what applying a file would change.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -25,7 +25,7 @@
     entries: Vec<entry::CatalogueEntry>,
 }
 
-/// What would become of one entry.
+/// Change that the file makes to one entry.
 #[derive(Debug, Serialize)]
 struct EntryDifference {
     change: DifferenceKind,
@@ -52,7 +52,7 @@
         let set = apply::read_change(&self.file)?;
         let document = self.session.fetch("/v1/catalogue").await?;
         let current: EntriesDocument =
-            serde_json::from_value(document).map_err(|error| session::unreadable(&error))?;
+            serde_json::from_value(document).map_err(|error| session::invalid_response(&error))?;
         let find = |key: &entry::EntryKey| {
             current
                 .entries
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller explain`: the course of one request, from the logs of the processes that it passed.
+//! `hazeltiller explain`: traces one request through the logs of the processes that handled it.
 
 use std::{io::Read, path::PathBuf, process::ExitCode};
 
@@ -9,27 +9,27 @@
 
 use crate::session;
 
-/// Fields of a line that are shown apart from the others or not at all.
-const SHOWN_APART: [&str; 6] = ["at", "instance", "kind", "level", "request", "sequence"];
-/// Smallest status with which a target says that it failed.
-const FAILED_STATUS: u64 = 500;
+/// Fields of a log line that are printed separately from the others or not at all.
+const SEPARATE_FIELDS: [&str; 6] = ["at", "instance", "kind", "level", "request", "sequence"];
+/// Lowest status of a response that reports a failure of the target.
+const MIN_FAILURE_STATUS: u64 = 500;
 
-/// Print the course of one request over all processes, and why it ended as it did
+/// Trace one request through the logs of the processes and print why it ended as it did
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct ExplainCommand {
-    /// How to print: text or json
+    /// Output format: text or json
     #[bpaf(argument("FORM"), fallback(session::OutputForm::Text))]
     output: session::OutputForm,
     /// Id of the request
     #[bpaf(positional("ID"))]
     request: ids::RequestId,
-    /// Log files of the processes; none: standard input. Text before a line's JSON is ignored
+    /// Log files of the processes; default: standard input. Text before a line's JSON is ignored
     #[bpaf(positional("FILE"))]
     files: Vec<PathBuf>,
 }
 
-/// A step of the request.
+/// One logged event of the request.
 #[derive(Debug, Clone, Serialize)]
 struct RequestStep {
     instance: String,
@@ -39,9 +39,9 @@
     fields: Map<String, Value>,
 }
 
-/// What the logs say of a request.
+/// The logged events of a request and the cause of its end.
 #[derive(Debug, Serialize)]
-struct RequestCourse {
+struct RequestTrace {
     request: ids::RequestId,
     cause: String,
     steps: Vec<RequestStep>,
@@ -57,20 +57,20 @@
         let mut steps = Vec::new();
         for text in self.read_texts()? {
             let lines = text.lines();
-            steps.extend(lines.filter_map(|line| read_step(line, &self.request)));
+            steps.extend(lines.filter_map(|line| parse_step(line, &self.request)));
         }
         steps.sort_by_key(|step| step.order);
-        let course = RequestCourse {
+        let trace = RequestTrace {
             request: self.request.clone(),
-            cause: find_cause(&steps),
+            cause: describe_cause(&steps),
             steps,
         };
         match self.output {
             session::OutputForm::Json => {
-                let text = serde_json::to_string(&course).expect("a course has only text keys");
+                let text = serde_json::to_string(&trace).expect("a trace has only text keys");
                 println!("{text}");
             }
-            session::OutputForm::Text => print_course(&course),
+            session::OutputForm::Text => print_trace(&trace),
         }
         Ok(())
     }
@@ -88,8 +88,8 @@
     }
 }
 
-/// A line's step, if it is one of the request.
-fn read_step(line: &str, request: &ids::RequestId) -> Option<RequestStep> {
+/// Parses a log line. Returns `None` if it is not about the request.
+fn parse_step(line: &str, request: &ids::RequestId) -> Option<RequestStep> {
     if !line.contains(request.as_str()) {
         return None;
     }
@@ -109,7 +109,7 @@
     );
     let text = |value: Option<&Value>| value.and_then(Value::as_str).unwrap_or_default().into();
     let (instance, kind) = (text(fields.get("instance")), text(fields.get("kind")));
-    fields.retain(|name, _| !SHOWN_APART.contains(&name.as_str()));
+    fields.retain(|name, _| !SEPARATE_FIELDS.contains(&name.as_str()));
     Some(RequestStep {
         instance,
         kind,
@@ -118,8 +118,8 @@
     })
 }
 
-/// Why a request ended as it did, by its last steps.
-fn find_cause(steps: &[RequestStep]) -> String {
+/// Describes why a request ended as it did, from its last events.
+fn describe_cause(steps: &[RequestStep]) -> String {
     let last = |kind: &str| steps.iter().rev().find(|step| step.kind == kind);
     let text = |step: &RequestStep, name: &str| {
         let value = step.fields.get(name);
@@ -132,14 +132,14 @@
     let version = last("call_tried").map(|step| text(step, "version"));
     let cohort = last("call_tried").map_or_else(String::new, |step| text(step, "cohort"));
     let target = match version.filter(|version| !version.is_empty()) {
-        Some(version) => format!("{target} ({cohort} of version {version} in a roll-out)"),
+        Some(version) => format!("{target} (cohort {cohort}, version {version}, in a roll-out)"),
         None => target,
     };
     if let Some(answered) = last("call_answered") {
         let status = answered.fields.get("status").and_then(Value::as_u64);
         return match status {
-            Some(status) if status >= FAILED_STATUS => {
-                format!("{target} answered with status {status}: the failure is its own")
+            Some(status) if status >= MIN_FAILURE_STATUS => {
+                format!("{target} answered with status {status}: the failure is in the target")
             }
             Some(status) => format!("{target} answered with status {status}"),
             None => format!("{target} answered"),
@@ -150,7 +150,7 @@
         let meaning = code
             .parse::<code::ResultCode>()
             .map(code::ResultCode::meaning);
-        let meaning = meaning.unwrap_or("an unknown code");
+        let meaning = meaning.unwrap_or("unknown code");
         let run = last("run_failed").map(|step| text(step, "failure"));
         let run = run.map_or_else(String::new, |failure| {
             format!("; the last run at {target} ended: {failure}")
@@ -158,20 +158,21 @@
         let limit = last("offer_refused").map(|step| text(step, "limit"));
         let limit = limit
             .filter(|limit| !limit.is_empty() && limit != "null")
-            .map_or_else(String::new, |limit| format!("; by {limit}"));
+            .map_or_else(String::new, |limit| format!("; limit: {limit}"));
         return format!("refused with {code}: {meaning}{limit}{run}");
     }
     if steps.is_empty() {
-        return "no line names it: it was left out by sampling, came to another process, or never came"
+        return "no line has this id: not sampled, handled by another process, or never received"
             .into();
     }
-    "no end was logged: the caller left, or the process ended before it could write".into()
+    "no end was logged: the caller disconnected, or the process ended before it wrote the line"
+        .into()
 }
 
-fn print_course(course: &RequestCourse) {
-    println!("request {}", course.request);
-    let first = course.steps.first().map_or(0, |step| step.order.0);
-    for step in &course.steps {
+fn print_trace(trace: &RequestTrace) {
+    println!("request {}", trace.request);
+    let first = trace.steps.first().map_or(0, |step| step.order.0);
+    for step in &trace.steps {
         let after = step.order.0.saturating_sub(first);
         let fields: Vec<String> = step
             .fields
@@ -188,5 +189,5 @@
             fields.join(" ")
         );
     }
-    println!("cause: {}", course.cause);
+    println!("cause: {}", trace.cause);
 }
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -1,4 +1,5 @@
-//! `hazeltiller load`: requests at a given rate, and the proof of what became of each.
+//! `hazeltiller load`: sends requests at a given rate and checks their outcomes against the logs of
+//! the targets.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -8,48 +9,49 @@
 
 use crate::session;
 
-/// Send requests at a given rate and prove what became of each
+/// Send requests at a given rate and check their outcomes against the targets' logs
 #[derive(Debug, Clone, Bpaf)]
 pub struct LoadCommand {
-    /// Callers listener of a node; several are asked in turn
+    /// Callers listener of a node; several are used in turn
     #[bpaf(argument("IP:PORT"), some("at least one --node IP:PORT is needed"))]
     node: Vec<SocketAddr>,
-    /// File in JSON with comments with the kinds of requests; see docs/operators/seeing.md
+    /// File with the kinds of requests, JSON with comments; see docs/operators/seeing.md
     #[bpaf(argument("FILE"))]
     mix: Option<PathBuf>,
-    /// Path that is asked for with GET, where there is no --mix; {n} in it becomes a number
+    /// Path of the GET requests if there is no --mix; {n} is replaced by the number of the request
     #[bpaf(argument("PATH"), fallback("/".into()))]
     path: String,
-    /// Requests a second
+    /// Requests per second
     #[bpaf(argument("RATE"), fallback(100.0))]
     rate: f64,
-    /// Seconds in which requests begin
+    /// Time during which requests are started, in seconds
     #[bpaf(argument("SECONDS"), fallback(10.0))]
     seconds: f64,
-    /// Seed of every random choice
+    /// Seed of the random number generator
     #[bpaf(argument("NUMBER"), fallback(0))]
     seed: u64,
-    /// Times that a request is sent in all, where it may be sent again
+    /// Highest number of sends of a request that may safely be resent
     #[bpaf(argument("COUNT"), fallback(3))]
     sends: u32,
-    /// Longest time of one send, in milliseconds
+    /// Timeout of one send, in milliseconds
     #[bpaf(argument("MS"), fallback(10_000))]
     timeout_ms: u64,
-    /// Stand-in whose log the verdict rests on; repeatable
+    /// Stand-in whose log the outcomes are checked against; repeatable
     #[bpaf(argument("IP:PORT"), many)]
     stand_in: Vec<SocketAddr>,
-    /// File that a plot of latency and goodput is written to, as SVG
+    /// SVG file to which a plot of latency and goodput is written
     #[bpaf(argument("FILE"))]
     plot: Option<PathBuf>,
-    /// text or json
+    /// Output format: text or json
     #[bpaf(argument("FORM"), fallback(session::OutputForm::Text))]
     output: session::OutputForm,
-    /// Say nothing while it runs
+    /// Print no progress
     quiet: bool,
 }
 
 impl LoadCommand {
-    /// Runs the command: exit code 1 where a request was lost, doubled, cut or wrongly refused.
+    /// Runs the command. The exit code is 1 if the log of a stand-in could not be read, or if a
+    /// request was lost, doubled, cut, crossed, wrongly refused or answered without a run.
     pub async fn execute(self) -> ExitCode {
         let report = match self.run().await {
             Ok(report) => report,
@@ -71,9 +73,11 @@
 
     async fn run(&self) -> Result<report::LoadReport, session::CommandError> {
         let mix = self.read_mix()?;
-        let is_sound = |number: f64| number.is_finite() && number > 0.0;
-        if !is_sound(self.rate) || !is_sound(self.seconds) {
-            return Err(usage("--rate and --seconds are more than 0".into()));
+        let is_positive = |number: f64| number.is_finite() && number > 0.0;
+        if !is_positive(self.rate) || !is_positive(self.seconds) {
+            return Err(usage_error(
+                "--rate and --seconds must be greater than 0".into(),
+            ));
         }
         let settings = settings::LoadSettings::builder(self.node.clone(), mix)
             .rate(self.rate)
@@ -83,18 +87,18 @@
             .timeout(Duration::from_millis(self.timeout_ms))
             .stand_ins(self.stand_in.clone())
             .build();
-        let report = load::run(settings, |progress| self.show(progress)).await;
+        let report = load::run(settings, |progress| self.print_progress(progress)).await;
         if let Some(path) = &self.plot {
             let written = report.series.write(path);
-            written.map_err(|error| usage(format!("{}: {error}", path.display())))?;
+            written.map_err(|error| usage_error(format!("{}: {error}", path.display())))?;
         }
         Ok(report)
     }
 
-    fn show(&self, progress: &collect::LoadProgress) {
+    fn print_progress(&self, progress: &collect::LoadProgress) {
         if !self.quiet {
             eprintln!(
-                "{:>6.1} s: {} begun, {} answered, {} otherwise",
+                "{:>6.1} s: {} started, {} answered, {} not answered",
                 progress.elapsed.as_secs_f64(),
                 progress.begun,
                 progress.answered,
@@ -106,9 +110,10 @@
     fn read_mix(&self) -> Result<mix::LoadMix, session::CommandError> {
         let mix = match &self.mix {
             None => mix::LoadMix::new(vec![mix::RequestKind::get(&self.path)])
-                .expect("its one kind has a weight"),
+                .expect("the only kind has a weight"),
             Some(path) => {
-                let invalid = |message: String| usage(format!("{}: {message}", path.display()));
+                let invalid =
+                    |message: String| usage_error(format!("{}: {message}", path.display()));
                 let text =
                     std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
                 mix::LoadMix::parse(&text).map_err(|error| invalid(error.to_string()))?
@@ -116,15 +121,15 @@
         };
         match mix.kinds().iter().find(|kind| !call::is_possible(kind)) {
             None => Ok(mix),
-            Some(kind) => Err(usage(format!(
-                "kind {}: its method, path or host cannot stand in a request",
+            Some(kind) => Err(usage_error(format!(
+                "kind {}: invalid method, path or host",
                 kind.name
             ))),
         }
     }
 }
 
-fn usage(message: String) -> session::CommandError {
+fn usage_error(message: String) -> session::CommandError {
     session::CommandError::new(
         code::ResultCode::UsageInvalid,
         message,
--- a/src/commands/read.rs
+++ b/src/commands/read.rs
@@ -1,4 +1,4 @@
-//! The subcommands that only read: `get`, `list`, `history`, `status`, `targets`, `convergence`.
+//! The read-only subcommands `get`, `list`, `history`, `status`, `targets` and `convergence`.
 
 use std::process::ExitCode;
 
@@ -15,7 +15,7 @@
 pub struct GetCommand {
     #[bpaf(external(session::session_options))]
     session: session::SessionOptions,
-    /// owner, class, service, route, listener or rollout
+    /// Kind of entry: owner, class, service, route, listener or rollout
     #[bpaf(positional("KIND"))]
     kind: entry::EntryKind,
     /// Name of the entry
@@ -29,12 +29,12 @@
 pub struct ListCommand {
     #[bpaf(external(session::session_options))]
     session: session::SessionOptions,
-    /// owner, class, service, route, listener or rollout
+    /// Kind of entry: owner, class, service, route, listener or rollout
     #[bpaf(positional("KIND"))]
     kind: Option<entry::EntryKind>,
 }
 
-/// A page that is printed as it is.
+/// Print a document of the operators interface
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct PageCommand {
@@ -42,7 +42,7 @@
     session: session::SessionOptions,
 }
 
-/// Print on how many nodes a version is in force, and which are behind
+/// Print on how many nodes a version is in force, and which nodes are behind
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct ConvergenceCommand {
@@ -62,12 +62,12 @@
 }
 
 impl PageCommand {
-    /// Prints a page.
+    /// Prints the document at a path.
     pub async fn execute(self, path: &str) -> ExitCode {
         session::finish(print(&self.session, path).await)
     }
 
-    /// Prints the list under a key of a page, a line each.
+    /// Prints the list under a key of a document as a table.
     pub async fn execute_rows(self, path: &str, key: &str, columns: &[&str]) -> ExitCode {
         session::finish(print_rows(&self.session, path, key, columns).await)
     }
@@ -92,7 +92,7 @@
         }
         println!("version {}", document["version"]);
         let columns = ["kind", "name", "owner", "class"];
-        for line in table(rows_of(&document, "entries"), &columns) {
+        for line in format_table(rows(&document, "entries"), &columns) {
             println!("{line}");
         }
         Ok(())
@@ -109,7 +109,7 @@
         if self.session.output == session::OutputForm::Json {
             return print(&self.session, &format!("/v1/convergence/{}", self.version)).await;
         }
-        let document = changes::convergence(&self.session, self.version).await?;
+        let document = changes::fetch_convergence(&self.session, self.version).await?;
         println!(
             "version {}: in force on {} of {} nodes",
             document.version, document.nodes_in_force, document.nodes_known
@@ -121,7 +121,7 @@
             println!("in force everywhere {took} ms after it was accepted");
         }
         for behind in document.behind {
-            println!("behind: {}", plain(&behind));
+            println!("behind: {}", format_value(&behind));
         }
         Ok(())
     }
@@ -147,20 +147,23 @@
         println!("{document}");
         return Ok(());
     }
-    for line in table(rows_of(&document, key), columns) {
+    for line in format_table(rows(&document, key), columns) {
         println!("{line}");
     }
     Ok(())
 }
 
-fn rows_of<'a>(document: &'a Value, key: &str) -> &'a [Value] {
+fn rows<'a>(document: &'a Value, key: &str) -> &'a [Value] {
     document[key].as_array().map_or(&[], Vec::as_slice)
 }
 
-/// Rows as aligned lines below a line of column names.
-pub(super) fn table(rows: &[Value], columns: &[&str]) -> Vec<String> {
+/// Formats rows as aligned lines below a header line with the names of the columns.
+pub(super) fn format_table(rows: &[Value], columns: &[&str]) -> Vec<String> {
     let cells = |row: &Value| -> Vec<String> {
-        columns.iter().map(|column| plain(&row[*column])).collect()
+        columns
+            .iter()
+            .map(|column| format_value(&row[*column]))
+            .collect()
     };
     let names = columns.iter().map(ToString::to_string).collect();
     let lines: Vec<Vec<String>> = std::iter::once(names)
@@ -184,8 +187,8 @@
     lines.iter().map(align).collect()
 }
 
-/// A value without the quotes of a JSON text.
-fn plain(value: &Value) -> String {
+/// Formats a value, without quotes if it is a string.
+fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
--- a/src/commands/revision.rs
+++ b/src/commands/revision.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller revision`: the document that last replaced the whole catalogue.
+//! `hazeltiller revision`: prints the document that last replaced the whole catalogue.
 
 use std::process::ExitCode;
 
@@ -21,7 +21,7 @@
     }
 
     async fn print(&self) -> Result<(), session::CommandError> {
-        let revision = changes::revision(&self.session).await?;
+        let revision = changes::fetch_revision(&self.session).await?;
         println!("{}", revision.document);
         Ok(())
     }
--- a/src/commands/rollout.rs
+++ b/src/commands/rollout.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller rollout`: a service's calls move to targets of another version.
+//! `hazeltiller rollout`: starts, shows, watches and aborts roll-outs of services.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -10,24 +10,24 @@
 use super::read;
 use crate::{changes, session};
 
-/// Columns of the roll-outs.
+/// Columns printed for each roll-out.
 const ROLLOUT_COLUMNS: [&str; 5] = ["service", "to", "phase", "share_permille", "reason"];
-/// Columns of the runs of both versions.
+/// Columns printed for each version of a roll-out.
 const VERSION_COLUMNS: [&str; 3] = ["version", "answered", "failed"];
-/// Time between two looks at a roll-out.
+/// Time between two polls of a roll-out.
 const WATCH_PERIOD: Duration = Duration::from_millis(300);
 
-/// A span such as `12s`, `1500ms` or `10m`.
+/// A duration such as `12s`, `1500ms` or `10m`, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SpanArgument(u32);
+pub struct DurationArgument(u32);
 
-impl std::str::FromStr for SpanArgument {
+impl std::str::FromStr for DurationArgument {
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        const EXPECTED: &str = "a whole number with ms, s or m is expected, such as 12s";
+        const EXPECTED: &str = "expected a whole number with the unit ms, s or m, such as 12s";
         let digits = text.trim_end_matches(|letter: char| letter.is_ascii_alphabetic());
-        let number: u32 = digits.parse().map_err(|_no_number| EXPECTED)?;
+        let number: u32 = digits.parse().map_err(|_not_a_number| EXPECTED)?;
         let unit_ms = match &text[digits.len()..] {
             "ms" => 1,
             "s" => 1000,
@@ -38,23 +38,23 @@
     }
 }
 
-/// What is done with a service's roll-out
+/// Roll a service out to another version, or show the progress of a roll-out
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub enum RolloutCommand {
-    /// Move a service's calls to targets of another version, or take them back if it is worse
+    /// Move a service's calls to targets of another version, and roll back if that version is worse
     #[bpaf(command)]
     Start {
         #[bpaf(external(session::session_options))]
         session: session::SessionOptions,
         #[bpaf(external(changes::change_options))]
         options: changes::ChangeOptions,
-        /// Version that calls move to
+        /// Version to roll out
         #[bpaf(argument("VERSION"))]
         to: ids::SoftwareVersion,
-        /// Time until it is done or taken back, such as 12s
+        /// Time within which the roll-out succeeds or is rolled back, such as 12s
         #[bpaf(argument("SPAN"))]
-        within: SpanArgument,
+        within: DurationArgument,
         /// Name of the service
         #[bpaf(positional("SERVICE"))]
         service: ids::EntryName,
@@ -68,7 +68,7 @@
         #[bpaf(positional("SERVICE"))]
         service: Option<ids::EntryName>,
     },
-    /// Print each phase of a roll-out until it is over; exit code 1 when it was taken back
+    /// Print each phase of a roll-out until it ends; exit code 1 if it is rolled back
     #[bpaf(command)]
     Watch {
         #[bpaf(external(session::session_options))]
@@ -77,7 +77,7 @@
         #[bpaf(positional("SERVICE"))]
         service: ids::EntryName,
     },
-    /// Take a roll-out back
+    /// Roll a service back
     #[bpaf(command)]
     Abort {
         #[bpaf(external(session::session_options))]
@@ -102,7 +102,7 @@
                 session,
                 options,
                 to,
-                within: SpanArgument(within_ms),
+                within: DurationArgument(within_ms),
                 service,
             } => {
                 let order = rollout::RolloutOrder {
@@ -152,13 +152,14 @@
     let rows = document["rollouts"]
         .as_array()
         .map_or(&[][..], Vec::as_slice);
-    for line in read::table(rows, &ROLLOUT_COLUMNS) {
+    for line in read::format_table(rows, &ROLLOUT_COLUMNS) {
         println!("{line}");
     }
     Ok(())
 }
 
-/// The latest roll-out of a service, from the leader where that can be reached: it has the evidence.
+/// Reads the latest roll-out of a service. The leader is asked if it is reachable, since it has the
+/// counts of runs.
 async fn fetch(
     session: &session::SessionOptions,
     service: &ids::EntryName,
@@ -183,7 +184,7 @@
         return println!("{document}");
     }
     println!(
-        "{} to {}: {}, up to {} in 1000 calls: {}",
+        "{} to {}: {}, up to {} of 1000 calls: {}",
         document["service"].as_str().unwrap_or_default(),
         document["to"].as_str().unwrap_or_default(),
         document["phase"].as_str().unwrap_or_default(),
@@ -194,7 +195,7 @@
         .as_array()
         .map_or(&[][..], Vec::as_slice);
     if !versions.is_empty() {
-        for line in read::table(versions, &VERSION_COLUMNS) {
+        for line in read::format_table(versions, &VERSION_COLUMNS) {
             println!("  {line}");
         }
     }
@@ -204,23 +205,23 @@
     session: &session::SessionOptions,
     service: &ids::EntryName,
 ) -> Result<(), session::CommandError> {
-    let mut shown = Value::Null;
+    let mut printed = Value::Null;
     loop {
         let document = fetch(session, service).await?;
         let phase = document["phase"].clone();
-        if shown != phase {
+        if printed != phase {
             print(session, &document);
-            shown = phase;
+            printed = phase;
         }
-        match shown.as_str() {
+        match printed.as_str() {
             Some("succeeded") => return Ok(()),
-            Some("rolled_back") => return Err(taken_back(&document)),
+            Some("rolled_back") => return Err(rolled_back_error(&document)),
             _ => tokio::time::sleep(WATCH_PERIOD).await,
         }
     }
 }
 
-fn taken_back(document: &Value) -> session::CommandError {
+fn rolled_back_error(document: &Value) -> session::CommandError {
     let reason = document["reason"].as_str().unwrap_or_default();
     let code = code::ResultCode::RolloutTakenBack;
     session::CommandError::new(code, reason.into(), session::EXIT_REFUSED)
--- a/src/commands/stand_in.rs
+++ b/src/commands/stand_in.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller stand-in`: a target to try things with.
+//! `hazeltiller stand-in`: runs a stand-in target for tests and trials.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
@@ -12,31 +12,31 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct StandInCommand {
-    /// Target listener of its node
+    /// Target listener of the node
     #[bpaf(argument("IP:PORT"))]
     node: SocketAddr,
-    /// Its name
+    /// Name of the target
     #[bpaf(argument("NAME"))]
     name: ids::TargetName,
-    /// Its service
+    /// Service of the target
     #[bpaf(argument("NAME"))]
     service: ids::EntryName,
-    /// Address that it listens on
+    /// Address to listen on
     #[bpaf(argument("IP:PORT"), fallback(SocketAddr::from(([127, 0, 0, 1], 0))))]
     listen: SocketAddr,
-    /// Requests that it runs at once
+    /// Highest number of concurrent requests
     #[bpaf(argument("COUNT"), fallback(10))]
     slots: u32,
-    /// Connections that it takes
+    /// Highest number of connections
     #[bpaf(argument("COUNT"), fallback(130))]
     connections: u32,
-    /// Version of its software that it tells
+    /// Software version to announce
     #[bpaf(argument("VERSION"))]
     version: Option<ids::SoftwareVersion>,
-    /// Time that each answer takes, in milliseconds
+    /// Latency of the responses, in milliseconds
     #[bpaf(argument("MS"), fallback(1))]
     latency_ms: u64,
-    /// File in JSON with comments that says how it behaves; see docs/operators/seeing.md
+    /// File with the scripted behaviour, JSON with comments; see docs/operators/seeing.md
     #[bpaf(argument("FILE"))]
     behaviour: Option<PathBuf>,
 }
@@ -63,7 +63,7 @@
             session::CommandError::new(code, format!("{listen}: {error}"), session::EXIT_INVALID)
         })?;
         println!("ready address={}", target.address);
-        // Interrupted or not, there is nothing to undo: its lease lapses.
+        // No cleanup is needed, even if the signal handler fails: the announcement's lease expires.
         drop(tokio::signal::ctrl_c().await);
         Ok(())
     }
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller timeline`: the events of all processes that can be reached, in causal order.
+//! `hazeltiller timeline`: prints the events of all reachable processes in causal order.
 
 use std::{
     io::{IsTerminal, Write},
@@ -20,39 +20,39 @@
 const DAY_MS: u64 = 24 * 60 * 60 * 1000;
 const RESET: &str = "\x1b[0m";
 const DIM: &str = "\x1b[2m";
-/// Kinds that are coloured, by the beginning of their name, and the colour of each.
-const COLOURS: [(&str, &str); 5] = [
+/// Colours of event kinds, by prefix of the kind.
+const KIND_COLOURS: [(&str, &str); 5] = [
     ("change_", "\x1b[32m"),
     ("version_", "\x1b[32m"),
     ("leader_", "\x1b[35m"),
     ("target_", "\x1b[36m"),
     ("process_", "\x1b[35m"),
 ];
-const TROUBLE_COLOUR: &str = "\x1b[31m";
+const FAILURE_COLOUR: &str = "\x1b[31m";
 
-/// Print the events of every process that can be reached, in causal order
+/// Print the events of all reachable processes in causal order
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct TimelineCommand {
     #[bpaf(external(session::session_options))]
     session: session::SessionOptions,
-    /// Only events of this kind, or whose kind begins so, such as call or version_in_force; repeatable
+    /// Only events whose kind has this prefix, such as call or version_in_force; repeatable
     #[bpaf(argument("KIND"), many)]
     kind: Vec<String>,
     /// Only events of this process; repeatable
     #[bpaf(argument("NAME"), many)]
     instance: Vec<ids::InstanceName>,
-    /// Only events of this version of the catalogue and of the change that made it
+    /// Only events of this catalogue version and of the change that created it
     #[bpaf(argument("VERSION"))]
     version: Option<ids::CatalogueVersion>,
-    /// Only events of the request with this id: the answer's header hazeltiller-request
+    /// Only events of the request with this id, which is in the response header hazeltiller-request
     #[bpaf(argument("ID"))]
     request: Option<ids::RequestId>,
-    /// Go on printing what happens
+    /// Keep printing new events
     follow: bool,
 }
 
-/// A process's page.
+/// Response of a process to a timeline request.
 #[derive(Debug, Deserialize)]
 struct TimelinePage {
     instance: ids::InstanceName,
@@ -61,7 +61,8 @@
     events: Vec<EventDocument>,
 }
 
-/// An event as a page shows it; kinds of a later version of the daemon are printed all the same.
+/// An event of a timeline response. The kind is a string, so that kinds introduced by later
+/// versions of the daemon are printed too.
 #[derive(Debug, Clone, Deserialize)]
 struct EventDocument {
     sequence: u64,
@@ -71,7 +72,7 @@
     fields: Map<String, Value>,
 }
 
-/// An event with the process that it happened in.
+/// An event and the process that recorded it.
 #[derive(Debug, Clone, Serialize)]
 struct MergedEvent {
     at: message::HybridTime,
@@ -95,16 +96,16 @@
             .iter()
             .map(|address| (*address, 0))
             .collect();
-        let mut told = Vec::new();
+        let mut reported = Vec::new();
         loop {
             let (events, failures) = self.fetch(&mut since).await?;
             for failure in failures {
-                if !told.contains(&failure) {
+                if !reported.contains(&failure) {
                     eprintln!("{failure}");
-                    told.push(failure);
+                    reported.push(failure);
                 }
             }
-            // Whoever reads may have gone, as `head` does.
+            // Printing fails if the reader of the pipe has exited, as `head` does.
             if self.print(events).is_err() || !self.follow {
                 return Ok(());
             }
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Asks every process for what is new; also says which were not reached and what they dropped.
+    /// Reads the new events of every process. Also returns messages about processes that were not
+    /// reached and about events that are no longer kept.
     async fn fetch(
         &self,
         since: &mut IndexMap<SocketAddr, u64>,
@@ -134,10 +136,10 @@
                 }
             };
             let page: TimelinePage =
-                serde_json::from_value(page).map_err(|error| session::unreadable(&error))?;
+                serde_json::from_value(page).map_err(|error| session::invalid_response(&error))?;
             reached += 1;
             if page.last < *last {
-                // It started again meanwhile and counts from 1.
+                // The process has restarted, so its sequence numbers start at 1 again.
                 *last = 0;
                 continue;
             }
@@ -148,7 +150,7 @@
                     page.instance, page.dropped
                 ));
             }
-            events.extend(merged(page));
+            events.extend(merge_instance(page));
         }
         if reached == 0 && !self.follow {
             let code = code::ResultCode::OperatorsUnreachable;
@@ -159,13 +161,13 @@
                 session::EXIT_REFUSED,
             ));
         }
-        events.sort_by(|one, other| order(one).cmp(&order(other)));
+        events.sort_by(|one, other| sort_key(one).cmp(&sort_key(other)));
         let changes = self.changes_of_version(&events);
-        events.retain(|event| self.wants(event, &changes));
+        events.retain(|event| self.is_selected(event, &changes));
         Ok((events, failures))
     }
 
-    /// Ids of the changes that made the wanted version.
+    /// Returns the ids of the changes that created the selected version.
     fn changes_of_version(&self, events: &[MergedEvent]) -> Vec<Value> {
         let Some(version) = self.version else {
             return Vec::new();
@@ -178,12 +180,12 @@
             .collect()
     }
 
-    fn wants(&self, event: &MergedEvent, changes: &[Value]) -> bool {
+    fn is_selected(&self, event: &MergedEvent, changes: &[Value]) -> bool {
         let is_kind = |kind: &String| event.kind.starts_with(kind.as_str());
         let has_version = |version: ids::CatalogueVersion| {
-            let own = event.fields.get("version") == Some(&version.0.into());
+            let has_field = event.fields.get("version") == Some(&version.0.into());
             let change = event.fields.get("change");
-            own || change.is_some_and(|change| changes.contains(change))
+            has_field || change.is_some_and(|change| changes.contains(change))
         };
         let has_request = |request: &ids::RequestId| {
             event.fields.get("request").and_then(Value::as_str) == Some(request.as_str())
@@ -216,17 +218,17 @@
             writeln!(
                 output,
                 "{dim}{}{reset}  {:instance_width$}  {colour}{:kind_width$}{reset}  {}",
-                clock_text(event.at),
+                format_time(event.at),
                 event.instance,
                 event.kind,
-                fields_text(&event.fields),
+                format_fields(&event.fields),
             )?;
         }
         output.flush()
     }
 }
 
-fn merged(page: TimelinePage) -> impl Iterator<Item = MergedEvent> {
+fn merge_instance(page: TimelinePage) -> impl Iterator<Item = MergedEvent> {
     let instance = page.instance;
     page.events.into_iter().map(move |event| MergedEvent {
         at: event.at,
@@ -237,23 +239,25 @@
     })
 }
 
-fn order(event: &MergedEvent) -> (message::HybridTime, &ids::InstanceName, u64) {
+fn sort_key(event: &MergedEvent) -> (message::HybridTime, &ids::InstanceName, u64) {
     (event.at, &event.instance, event.sequence)
 }
 
 fn colour(kind: &str) -> &'static str {
-    let is_trouble = ["_failed", "_refused", "_lost", "_unknown", "_ejected"]
+    let is_failure = ["_failed", "_refused", "_lost", "_unknown", "_ejected"]
         .iter()
-        .any(|end| kind.ends_with(end));
-    if is_trouble {
-        return TROUBLE_COLOUR;
+        .any(|suffix| kind.ends_with(suffix));
+    if is_failure {
+        return FAILURE_COLOUR;
     }
-    let found = COLOURS.iter().find(|(begin, _)| kind.starts_with(begin));
+    let found = KIND_COLOURS
+        .iter()
+        .find(|(prefix, _)| kind.starts_with(prefix));
     found.map_or("", |(_, colour)| colour)
 }
 
-/// Time of the day in UTC, and the count behind it.
-fn clock_text(at: message::HybridTime) -> String {
+/// Formats a hybrid logical clock as the UTC time of day and the logical counter.
+fn format_time(at: message::HybridTime) -> String {
     let day = at.wall.0 % DAY_MS;
     let (seconds, millis) = (day / 1000, day % 1000);
     let (hours, minutes, seconds) = (seconds / 3600, seconds / 60 % 60, seconds % 60);
@@ -263,7 +267,7 @@
     )
 }
 
-fn fields_text(fields: &Map<String, Value>) -> String {
+fn format_fields(fields: &Map<String, Value>) -> String {
     let pair = |(name, value): (&String, &Value)| match value {
         Value::String(text) => format!("{name}={text}"),
         other => format!("{name}={other}"),
--- a/src/commands/token.rs
+++ b/src/commands/token.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller token-hash`: the hash of a token, as an owner's entry holds it.
+//! `hazeltiller token-hash`: prints the hash of a token for an owner's entry.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -7,11 +7,11 @@
 
 use crate::session;
 
-/// Print the hash of a token, as it stands under "tokens" in an owner's entry
+/// Print the hash of a token for the field "tokens" of an owner's entry
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct TokenCommand {
-    /// File with the token
+    /// File that contains the token
     #[bpaf(positional("FILE"))]
     file: PathBuf,
 }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,8 +1,8 @@
-//! The embedded default: a whole small fleet in this one process, and proof that it works.
+//! A small fleet in one process, with traffic and a check of its results.
 //!
-//! Nothing is simulated: the same processes that the daemon runs listen on loopback, and requests
-//! go over real sockets. The verdict comes from the targets' own run logs, not from what the
-//! system says of itself.
+//! Nothing is simulated: the fleet consists of the processes that the daemon runs, which listen on
+//! loopback, and requests go over real sockets. The results are checked against the run logs of the
+//! targets, not against data that the system reports about itself.
 
 pub mod fleet;
 pub mod report;
--- a/src/demo/fleet.rs
+++ b/src/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! One control, four nodes in two data centres and four stand-in targets, all in this process.
+//! A fleet in one process: one control, four nodes in two data centres and four stand-in targets.
 
 use std::{
     error::Error,
@@ -15,34 +15,34 @@
 use serde_json::json;
 use tokio::time;
 
-/// Any error that ends the demo.
+/// Error that ends the demo.
 pub type DemoError = Box<dyn Error + Send + Sync>;
 
-/// The Register's catalogue, as in examples/.
+/// Catalogue of the example organisation, the Register.
 const CATALOGUE: &str = include_str!("../../examples/register/catalogue.jsonc");
 const DATA_CENTRES: [&str; 2] = ["brasov-a", "sibiu-a"];
 const SERVICE: &str = "registru";
-/// Longest wait for a state that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for the fleet to reach an expected state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_PERIOD: Duration = Duration::from_millis(1);
-/// How often a change that was refused for want of a leader is sent again.
+/// Time before a change that was refused because there is no leader yet is resent.
 const RETRY_PERIOD: Duration = Duration::from_millis(100);
 
-/// The fleet.
+/// The running fleet.
 #[derive(Debug)]
 pub struct DemoFleet {
     /// The control.
     pub control: process::RunningProcess,
     /// The nodes.
     pub nodes: Vec<process::RunningProcess>,
-    /// A target at each node.
+    /// The targets, one at each node.
     pub targets: Vec<target::StandInTarget>,
-    /// Holds the control's data folder until the demo is over.
+    /// Data folder of the control, deleted on drop.
     _folder: tempfile::TempDir,
 }
 
 impl DemoFleet {
-    /// Starts everything.
+    /// Starts the control, the nodes and the targets.
     pub async fn start() -> Result<Self, DemoError> {
         let folder = tempfile::tempdir()?;
         let peers = free_address()?;
@@ -76,19 +76,20 @@
         })
     }
 
-    /// Addresses of the nodes' callers listeners.
+    /// Returns the addresses of the nodes' callers listeners.
     pub fn callers(&self) -> Vec<SocketAddr> {
         let address = |node: &process::RunningProcess| node.addresses.callers;
         self.nodes.iter().filter_map(address).collect()
     }
 
-    /// Applies the Register's catalogue; returns the time until it was in force on every node.
+    /// Applies the Register's catalogue and returns the time until it is in force on all nodes.
     pub async fn apply_catalogue(&self) -> Result<Duration, DemoError> {
         let set = file::parse_file(CATALOGUE)?;
         self.apply("demo-first", 0, &set).await
     }
 
-    /// Gives the lookups a longer deadline: one route changes.
+    /// Extends the deadline of the route `lookup` and returns the time until the change is in force
+    /// on all nodes.
     pub async fn change_route(&self) -> Result<Duration, DemoError> {
         let mut set = file::parse_file(CATALOGUE)?;
         set.put
@@ -110,7 +111,7 @@
         let body = json!({
             "change_id": change_id, "expects": expects, "put": set.put, "remove": set.remove,
         });
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + STATE_TIMEOUT;
         loop {
             let body = Full::from(body.to_string());
             let sent = Instant::now();
@@ -121,8 +122,8 @@
                     .await?;
                 return Ok(sent.elapsed());
             }
-            let is_late = Instant::now() > deadline;
-            if is_late || !response.status().is_server_error() {
+            let is_expired = Instant::now() > deadline;
+            if is_expired || !response.status().is_server_error() {
                 return Err(String::from_utf8_lossy(response.body()).into());
             }
             time::sleep(RETRY_PERIOD).await;
@@ -133,16 +134,16 @@
         for node in &self.nodes {
             let mut in_force = node.context.in_force.clone();
             let reached = in_force.wait_for(|state| state.version >= version);
-            time::timeout(PATIENCE, reached).await??;
+            time::timeout(STATE_TIMEOUT, reached).await??;
         }
         Ok(())
     }
 
-    /// Waits until every node knows every target.
+    /// Waits until all nodes know all targets.
     pub async fn wait_targets(&self) -> Result<(), DemoError> {
-        let wanted = self.targets.len();
+        let expected = self.targets.len();
         for node in &self.nodes {
-            let deadline = Instant::now() + PATIENCE;
+            let deadline = Instant::now() + STATE_TIMEOUT;
             let known = || {
                 node.context.engine.inspect(|state| {
                     state
@@ -152,9 +153,9 @@
                         .sum::<usize>()
                 })
             };
-            while known().await != Some(wanted) {
+            while known().await != Some(expected) {
                 if Instant::now() > deadline {
-                    return Err("a node does not learn of every target".into());
+                    return Err("timed out waiting for a node to learn of all targets".into());
                 }
                 time::sleep(POLL_PERIOD).await;
             }
@@ -162,7 +163,7 @@
         Ok(())
     }
 
-    /// Bytes of control traffic that all processes have sent.
+    /// Returns the bytes of control traffic sent by all processes.
     pub fn control_bytes(&self) -> u64 {
         let processes = std::iter::once(&self.control).chain(&self.nodes);
         let sent = processes.map(|process| process.context.bytes.summary().sent);
@@ -188,7 +189,8 @@
     .await?)
 }
 
-/// An address whose port is free now; the control's voters are known by it before it starts.
+/// Returns an address with a port that is free now. The address of the control must be in all
+/// settings before the control starts.
 fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the callers were told, held against what the targets ran.
+//! Compares the outcomes that the callers received with the runs that the targets logged.
 
 use std::fmt;
 
@@ -9,33 +9,33 @@
 
 use super::traffic;
 
-/// The count of a demo.
+/// Counts of the requests and the control traffic of a demo.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct DemoReport {
-    /// Requests that callers made.
+    /// Requests made by callers.
     pub sent: usize,
-    /// Requests that were answered by a target.
+    /// Requests answered by a target.
     pub answered: usize,
-    /// Times that a request was sent again.
+    /// Number of resends.
     pub resends: usize,
-    /// Requests that were refused as not run at the last send too.
+    /// Requests whose last send was refused as not run, and that indeed did not run.
     pub refused: usize,
-    /// Requests whose caller was told in the end that the outcome is not known; none ran twice.
+    /// Requests whose last send ended with an unknown outcome.
     pub told_unknown: usize,
-    /// Requests that got nothing, that were told not to have run and did, or whose answer no
-    /// target gave.
+    /// Requests that got no response, that ran although they were refused as not run, or that were
+    /// answered although no target ran them.
     pub lost: usize,
-    /// Certificates that were issued more than once.
+    /// Certificates issued more than once.
     pub doubled: usize,
-    /// Time from the sending of the route's change until it was in force on every node, in
+    /// Time from sending the change of the route until it was in force on all nodes, in
     /// milliseconds.
     pub convergence_ms: u64,
-    /// Bytes of control traffic that all processes sent.
+    /// Bytes of control traffic sent by all processes.
     pub control_bytes: u64,
 }
 
 impl DemoReport {
-    /// Counts requests against the targets' run logs.
+    /// Compares the requests with the targets' run logs.
     pub fn count(requests: &[traffic::CallerRequest], targets: &[target::StandInTarget]) -> Self {
         let mut runs: IndexMap<String, usize> = IndexMap::new();
         for run in targets.iter().flat_map(target::StandInTarget::runs) {
@@ -59,7 +59,7 @@
         report
     }
 
-    /// Whether nothing was lost or doubled.
+    /// Whether requests were sent and none was lost or ran twice.
     pub fn is_clean(&self) -> bool {
         self.sent > 0 && self.lost == 0 && self.doubled == 0
     }
@@ -72,13 +72,13 @@
             ("  answered", self.answered as u64, ""),
             ("  refused", self.refused as u64, "(and not run)"),
             (
-                "  told unknown",
+                "  outcome unknown",
                 self.told_unknown as u64,
                 "(none ran twice)",
             ),
             ("  lost", self.lost as u64, ""),
-            ("  doubled", self.doubled as u64, ""),
-            ("  sent again", self.resends as u64, ""),
+            ("  ran twice", self.doubled as u64, ""),
+            ("  resends", self.resends as u64, ""),
             (
                 "convergence, ms",
                 self.convergence_ms,
--- a/src/demo/traffic.rs
+++ b/src/demo/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers that look vehicles up and have certificates issued, and send again what got lost.
+//! Callers that look up vehicles and issue certificates, and resend requests that fail.
 
 use std::{
     net::SocketAddr,
@@ -14,66 +14,70 @@
 use hyper::{Method, Request, StatusCode};
 use tokio::{task::JoinSet, time};
 
-const CALLERS: usize = 16;
-/// One request in so many has a certificate issued; the others look a vehicle up.
-const ISSUE_EVERY: u64 = 5;
-/// With this pause the callers stay below their owners' rate limits in the catalogue.
-const PAUSE: Duration = Duration::from_millis(80);
-const SENDS: usize = 20;
+const CALLER_COUNT: usize = 16;
+/// One in this many requests issues a certificate; the others look up a vehicle.
+const ISSUE_INTERVAL: u64 = 5;
+/// Time between the requests of a caller. Keeps the callers below the rate limits of their owners
+/// in the catalogue.
+const REQUEST_PAUSE: Duration = Duration::from_millis(80);
+const MAX_SENDS: usize = 20;
 const RESEND_PAUSE: Duration = Duration::from_millis(100);
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// It was answered by a target.
+    /// A target answered.
     Answered,
-    /// It was refused as not run.
+    /// The request was refused as not run.
     Refused,
-    /// It was refused with an unknown outcome, or one that can't be told again.
+    /// The request was refused with an unknown outcome, or ran but its response cannot be repeated.
     Unknown,
-    /// It got no answer at all.
+    /// No response was received.
     Unanswered,
 }
 
 /// One request of a caller.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path, of this request only.
+    /// Path, which is unique to this request.
     pub path: String,
-    /// How it ended.
+    /// Outcome of the last send.
     pub end: RequestEnd,
-    /// Times that it was sent.
+    /// Number of sends.
     pub sends: usize,
 }
 
-/// Callers that run until they are stopped.
+/// Callers that send requests until they are stopped.
 #[derive(Debug)]
 pub struct DemoTraffic {
     callers: JoinSet<Vec<CallerRequest>>,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl DemoTraffic {
-    /// Starts the callers, which send to every node in turn.
+    /// Starts the callers, which use the nodes in turn.
     pub fn start(nodes: &[SocketAddr]) -> Self {
-        let is_over = Arc::new(AtomicBool::new(false));
-        let last = Arc::new(AtomicU64::new(0));
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let next_number = Arc::new(AtomicU64::new(0));
         let mut callers = JoinSet::new();
-        for _ in 0..CALLERS {
-            callers.spawn(call_on(
+        for _ in 0..CALLER_COUNT {
+            callers.spawn(run_caller(
                 nodes.to_vec(),
-                Arc::clone(&last),
-                Arc::clone(&is_over),
+                Arc::clone(&next_number),
+                Arc::clone(&is_stopped),
             ));
         }
-        Self { callers, is_over }
+        Self {
+            callers,
+            is_stopped,
+        }
     }
 
-    /// Stops the callers once each has its answer; returns every request.
+    /// Stops the callers after their current requests and returns all requests.
     pub async fn stop(self) -> Vec<CallerRequest> {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
         self.callers
             .join_all()
             .await
@@ -83,23 +87,24 @@
     }
 }
 
-async fn call_on(
+async fn run_caller(
     nodes: Vec<SocketAddr>,
-    last: Arc<AtomicU64>,
-    is_over: Arc<AtomicBool>,
+    next_number: Arc<AtomicU64>,
+    is_stopped: Arc<AtomicBool>,
 ) -> Vec<CallerRequest> {
     let mut requests = Vec::new();
-    while !is_over.load(Ordering::Relaxed) {
-        let number = last.fetch_add(1, Ordering::Relaxed);
+    while !is_stopped.load(Ordering::Relaxed) {
+        let number = next_number.fetch_add(1, Ordering::Relaxed);
         requests.push(call(&nodes, number).await);
-        time::sleep(PAUSE).await;
+        time::sleep(REQUEST_PAUSE).await;
     }
     requests
 }
 
-/// Sends a request, and again through the next node with the same key while it may help.
+/// Sends a request, and resends it with the same idempotency key through the next node until it is
+/// answered or [`MAX_SENDS`] is reached.
 async fn call(nodes: &[SocketAddr], number: u64) -> CallerRequest {
-    let is_issue = number.is_multiple_of(ISSUE_EVERY);
+    let is_issue = number.is_multiple_of(ISSUE_INTERVAL);
     let (method, path) = if is_issue {
         (Method::POST, format!("/certificates/{number}"))
     } else {
@@ -111,8 +116,8 @@
         end: RequestEnd::Unanswered,
         sends: 0,
     };
-    for turn in 0..SENDS {
-        let node = nodes[(number as usize + turn) % nodes.len()];
+    for attempt in 0..MAX_SENDS {
+        let node = nodes[(number as usize + attempt) % nodes.len()];
         request.sends += 1;
         request.end = send(node, &request, number).await;
         if request.end == RequestEnd::Answered {
--- a/src/hazeltillerd.rs
+++ b/src/hazeltillerd.rs
@@ -1,4 +1,4 @@
-//! The daemon: one process of the system.
+//! The daemon `hazeltillerd`, which runs as a node, a control or both.
 
 use std::{path::PathBuf, process::ExitCode, sync::Arc};
 
@@ -15,15 +15,15 @@
     /// Settings file, JSON with comments
     #[bpaf(argument("FILE"))]
     settings: PathBuf,
-    /// Check the settings and exit: 0 sound, 2 faulty
+    /// Check the settings and exit: 0 valid, 2 invalid
     check: bool,
-    /// Make the instances under "control" the voters of a new group; once, on empty folders
+    /// Form a new group with the instances under "control" as voters; once, on empty folders
     bootstrap: bool,
 }
 
 const EXIT_INVALID: u8 = 2;
-/// What `sysexits.h` gives for an internal fault of a program.
-const EXIT_PART_ENDED: u8 = 70;
+/// `EX_SOFTWARE` of `sysexits.h`: an internal error of the program.
+const EXIT_TASK_ENDED: u8 = 70;
 const HELP_WIDTH: usize = 100;
 
 fn main() -> ExitCode {
@@ -31,8 +31,8 @@
         Ok(options) => options,
         Err(failure) => {
             failure.print_message(HELP_WIDTH);
-            let is_wrong = matches!(failure, bpaf::ParseFailure::Stderr(_));
-            return if is_wrong {
+            let is_error = matches!(failure, bpaf::ParseFailure::Stderr(_));
+            return if is_error {
                 ExitCode::from(EXIT_INVALID)
             } else {
                 ExitCode::SUCCESS
@@ -57,7 +57,7 @@
         return ExitCode::from(EXIT_INVALID);
     }
     let runtime = build_runtime(settings.worker_threads);
-    let runtime = runtime.expect("the system gives threads and timers at start");
+    let runtime = runtime.expect("the operating system provides threads and timers at start");
     let start = process::StartOptions {
         bootstrap: options.bootstrap,
         dialects: choose_dialects(&settings.interface),
@@ -65,7 +65,8 @@
     runtime.block_on(run(file, start))
 }
 
-/// A single worker is the main thread itself, so that no call waits for another one to wake.
+/// Builds the runtime. A single worker runs on the main thread, so that no call waits for another
+/// thread to wake up.
 fn build_runtime(worker_threads: usize) -> std::io::Result<tokio::runtime::Runtime> {
     if worker_threads == 1 {
         return tokio::runtime::Builder::new_current_thread()
@@ -99,7 +100,7 @@
 }
 
 async fn run(file: reload::TakenFile, options: process::StartOptions) -> ExitCode {
-    // Before anything else, since the signal would end the process.
+    // Installed first: without a handler, SIGHUP terminates the process.
     let hangups =
         unix::signal(unix::SignalKind::hangup()).expect("a handler for SIGHUP can be set at start");
     let mut running = match process::start(&file.settings, options).await {
@@ -117,11 +118,11 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
-        part = running.critical_tasks.ended() => {
+        task = running.critical_tasks.ended() => {
             let code = code::ResultCode::PartEnded;
-            log::error!("{code}: {part}: {}; {}", code.meaning(), code.advice());
+            log::error!("{code}: {task}: {}; {}", code.meaning(), code.advice());
             logging::finish();
-            return ExitCode::from(EXIT_PART_ENDED);
+            return ExitCode::from(EXIT_TASK_ENDED);
         }
     }
     let stopping = timeline::TimelineEvent::ProcessStopping;
--- a/src/session.rs
+++ b/src/session.rs
@@ -1,4 +1,4 @@
-//! A session with the operators listener of one or several processes.
+//! Requests to the operators listener of one or several processes.
 
 use std::{fmt, net::SocketAddr, path::PathBuf, process::ExitCode};
 
@@ -10,12 +10,12 @@
 use hyper::{Method, Request, Response, StatusCode, header};
 use serde::de::DeserializeOwned;
 
-/// How answers are printed.
+/// Output format of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutputForm {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For scripts.
+    /// JSON, for scripts.
     Json,
 }
 
@@ -26,15 +26,15 @@
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err("text or json is expected"),
+            _ => Err("expected text or json"),
         }
     }
 }
 
-/// Which process is talked to and how answers are printed.
+/// The processes to send requests to, the credentials and the output format.
 #[derive(Debug, Clone, Bpaf)]
 pub struct SessionOptions {
-    /// Operators address of a process; several are tried in order
+    /// Operators address of a process; several are tried in the order given
     #[bpaf(
         argument("IP:PORT"),
         some("at least one --operators IP:PORT is needed")
@@ -43,21 +43,21 @@
     /// File with the operator's token
     #[bpaf(argument("FILE"))]
     pub token_file: Option<PathBuf>,
-    /// text or json
+    /// Output format: text or json
     #[bpaf(argument("FORM"), fallback(OutputForm::Text))]
     pub output: OutputForm,
 }
 
-/// Why a command did not end well, with its exit code.
+/// Why a command failed, with its exit code.
 #[derive(Debug)]
 pub struct CommandError {
-    /// Its result code.
+    /// The result code.
     pub code: code::ResultCode,
     /// What happened.
     pub message: String,
-    /// What to do; empty where the code's own advice serves.
+    /// What the operator can do. If empty, the advice of the result code is printed.
     pub advice: String,
-    /// Exit code: 1 refused, 2 usage or invalid, 3 outcome unknown.
+    /// Exit code: 1 refused, 2 wrong usage or invalid input, 3 outcome unknown.
     pub exit: u8,
 }
 
@@ -81,11 +81,11 @@
 pub const EXIT_REFUSED: u8 = 1;
 /// Exit code of wrong usage or invalid input.
 pub const EXIT_INVALID: u8 = 2;
-/// Exit code where the outcome is not known.
+/// Exit code of a request whose outcome is unknown.
 pub const EXIT_UNKNOWN: u8 = 3;
 
 impl CommandError {
-    /// An error with the code's own advice.
+    /// Creates an error with the advice of the result code.
     pub fn new(code: code::ResultCode, message: String, exit: u8) -> Self {
         Self {
             code,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Ends a command: prints the error, if any.
+/// Prints the error of a command, if any, and returns the exit code.
 pub fn finish(result: Result<(), CommandError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -107,13 +107,13 @@
     }
 }
 
-/// Reads an answer of a known shape.
-pub fn read_answer<T: DeserializeOwned>(body: &[u8]) -> Result<T, CommandError> {
-    serde_json::from_slice(body).map_err(|error| unreadable(&error))
+/// Decodes the body of a response.
+pub fn parse_response<T: DeserializeOwned>(body: &[u8]) -> Result<T, CommandError> {
+    serde_json::from_slice(body).map_err(|error| invalid_response(&error))
 }
 
-/// The error of an answer that is not of the shape it should have.
-pub fn unreadable(error: &serde_json::Error) -> CommandError {
+/// Returns the error for a response that cannot be decoded.
+pub fn invalid_response(error: &serde_json::Error) -> CommandError {
     CommandError::new(
         code::ResultCode::AnswerUnreadable,
         error.to_string(),
@@ -121,9 +121,9 @@
     )
 }
 
-/// The error that a refusal's document tells of.
+/// Converts the body of a refusal to an error.
 pub fn refusal(body: &[u8]) -> CommandError {
-    let document: serde_json::Value = match read_answer(body) {
+    let document: serde_json::Value = match parse_response(body) {
         Ok(document) => document,
         Err(error) => return error,
     };
@@ -133,22 +133,22 @@
     CommandError::new(code, message, EXIT_REFUSED)
 }
 
-/// Reads a file that was named on the command line.
+/// Reads a file named on the command line.
 pub fn read_file(path: &std::path::Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path).map_err(|error| file_error(path, &error.to_string()))
 }
 
-/// The error of a file that cannot be read or parsed.
+/// Returns the error for a file that cannot be read or parsed.
 pub fn file_error(path: &std::path::Path, message: &str) -> CommandError {
     let message = format!("{}: {message}", path.display());
     CommandError::new(code::ResultCode::FileInvalid, message, EXIT_INVALID)
 }
 
 impl SessionOptions {
-    /// Sends a request to the first address that answers.
+    /// Sends a request to the addresses in order until one responds.
     ///
-    /// A change may go to several addresses: its change id makes a second sending harmless. Where
-    /// none answered and one may have taken it, the outcome is unknown.
+    /// A change may reach several processes this way: the change id makes a resend idempotent. If
+    /// none responds and one may have received the change, the outcome is unknown.
     pub async fn send(
         &self,
         method: Method,
@@ -157,7 +157,7 @@
     ) -> Result<Response<Bytes>, CommandError> {
         let token = self.token()?;
         let mut failures = Vec::new();
-        let mut may_be_taken = false;
+        let mut may_be_received = false;
         for address in &self.operators {
             let mut request = Request::new(Full::new(Bytes::from(body.clone())));
             *request.method_mut() = method.clone();
@@ -170,12 +170,12 @@
             match client::exchange(*address, request).await {
                 Ok(response) => return Ok(response),
                 Err(error) => {
-                    may_be_taken |= method == Method::POST && !error.is_unsent();
+                    may_be_received |= method == Method::POST && !error.is_unsent();
                     failures.push(format!("{address}: {error}"));
                 }
             }
         }
-        let exit = if may_be_taken {
+        let exit = if may_be_received {
             EXIT_UNKNOWN
         } else {
             EXIT_REFUSED
@@ -184,11 +184,11 @@
         Err(CommandError::new(code, failures.join("; "), exit))
     }
 
-    /// Reads a page; a refusal becomes an error.
+    /// Sends a GET request and decodes the response. A refusal is returned as an error.
     pub async fn fetch(&self, path: &str) -> Result<serde_json::Value, CommandError> {
         let response = self.send(Method::GET, path, Vec::new()).await?;
         if response.status() == StatusCode::OK {
-            return read_answer(response.body());
+            return parse_response(response.body());
         }
         Err(refusal(response.body()))
     }
@@ -202,11 +202,11 @@
 }
 
 fn bad_path(path: &str) -> CommandError {
-    let message = format!("{path:?} cannot stand in a request");
+    let message = format!("{path:?} is not a valid request path");
     CommandError::new(code::ResultCode::UsageInvalid, message, EXIT_INVALID)
 }
 
 fn bad_token() -> CommandError {
-    let message = "the token file holds characters that a token cannot have".into();
+    let message = "the token file contains characters that are not allowed in a token".into();
     CommandError::new(code::ResultCode::FileInvalid, message, EXIT_INVALID)
 }
