--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,4 +1,5 @@
-//! The HTTP side of a stand-in: what it answers to each request.
+//! Request handler of a stand-in: runs requests as scripted and serves the log, health and load
+//! endpoints.
 
 use std::{pin::Pin, time::Duration};
 
@@ -15,17 +16,17 @@
 
 use crate::{behaviour, client, headers, runs, target};
 
-/// Page with the log of runs.
-pub const RUNS_PAGE: &str = "/stand-in/runs";
-/// Page that a new behaviour is put to.
-pub const BEHAVIOUR_PAGE: &str = "/stand-in/behaviour";
-const HEALTH_PAGE: &str = "/health";
-const LOAD_PAGE: &str = "/load";
+/// Path of the run log.
+pub const RUNS_PATH: &str = "/stand-in/runs";
+/// Path to which a new behaviour is posted.
+pub const BEHAVIOUR_PATH: &str = "/stand-in/behaviour";
+const HEALTH_PATH: &str = "/health";
+const LOAD_PATH: &str = "/load";
 
-/// Body of a stand-in's answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
+/// Body of a stand-in's response.
+pub type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// The log as its page shows it.
+/// Document served at [`RUNS_PATH`].
 #[derive(Debug, Serialize)]
 struct RunsDocument<'a> {
     name: &'a str,
@@ -34,30 +35,30 @@
     runs: Vec<runs::RunRecord>,
 }
 
-/// The load page.
+/// Document served at [`LOAD_PATH`].
 #[derive(Debug, Serialize)]
 struct LoadDocument {
     in_flight: u32,
     slots: u32,
 }
 
-/// Answers a request as the script says.
-pub async fn answer(
+/// Responds to a request as scripted.
+pub async fn respond(
     target: &target::StandInTarget,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, RUNS_PAGE) => runs_page(target),
-        (&Method::POST, BEHAVIOUR_PAGE) => behaviour_page(target, request).await,
-        (&Method::GET, HEALTH_PAGE) => health_page(target),
-        (&Method::GET, LOAD_PAGE) => load_page(target),
+        (&Method::GET, RUNS_PATH) => serve_runs(target),
+        (&Method::POST, BEHAVIOUR_PATH) => set_behaviour(target, request).await,
+        (&Method::GET, HEALTH_PATH) => serve_health(target),
+        (&Method::GET, LOAD_PATH) => serve_load(target),
         _ => run(target, request).await,
     }
 }
 
-fn runs_page(target: &target::StandInTarget) -> Response<AnswerBody> {
+fn serve_runs(target: &target::StandInTarget) -> Response<ResponseBody> {
     let log = target.log();
-    json_answer(&RunsDocument {
+    json_response(&RunsDocument {
         name: target.settings().name.as_str(),
         shed: log.shed(),
         most_running: log.most_running(),
@@ -65,10 +66,10 @@
     })
 }
 
-async fn behaviour_page(
+async fn set_behaviour(
     target: &target::StandInTarget,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let body = request.into_body().collect().await;
     let bytes = body
         .map(http_body_util::Collected::to_bytes)
@@ -76,43 +77,43 @@
     match serde_json::from_slice(&bytes) {
         Ok(behaviour) => {
             target.behave(behaviour);
-            text_answer(StatusCode::OK, "")
+            text_response(StatusCode::OK, "")
         }
-        Err(error) => text_answer(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string()),
+        Err(error) => text_response(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string()),
     }
 }
 
-fn health_page(target: &target::StandInTarget) -> Response<AnswerBody> {
-    if target.behaviour().says_well() {
-        text_answer(StatusCode::OK, "well\n")
+fn serve_health(target: &target::StandInTarget) -> Response<ResponseBody> {
+    if target.behaviour().reports_healthy() {
+        text_response(StatusCode::OK, "well\n")
     } else {
-        text_answer(StatusCode::SERVICE_UNAVAILABLE, "ill\n")
+        text_response(StatusCode::SERVICE_UNAVAILABLE, "ill\n")
     }
 }
 
-fn load_page(target: &target::StandInTarget) -> Response<AnswerBody> {
-    let told = target.behaviour().told_in_flight;
-    json_answer(&LoadDocument {
-        in_flight: told.unwrap_or_else(|| target.log().running()),
+fn serve_load(target: &target::StandInTarget) -> Response<ResponseBody> {
+    let scripted = target.behaviour().told_in_flight;
+    json_response(&LoadDocument {
+        in_flight: scripted.unwrap_or_else(|| target.log().running()),
         slots: target.settings().slots,
     })
 }
 
-async fn run(target: &target::StandInTarget, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn run(target: &target::StandInTarget, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let body = body.collect().await;
     let Ok(body) = body.map(http_body_util::Collected::to_bytes) else {
-        return text_answer(StatusCode::BAD_REQUEST, "the request broke off\n");
+        return text_response(StatusCode::BAD_REQUEST, "the request broke off\n");
     };
     let behaviour = target.behaviour();
     let slots = behaviour.real_slots.unwrap_or(target.settings().slots);
-    let Some(run) = target.log().begin(describe(&parts, body.len()), slots) else {
-        return text_answer(StatusCode::SERVICE_UNAVAILABLE, "no slot is free\n");
+    let Some(run) = target.log().begin(run_record(&parts, body.len()), slots) else {
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "no slot is free\n");
     };
     time::sleep(behaviour.latency(target.since_start())).await;
-    if crashes(&parts) {
+    if requests_crash(&parts) {
         run.end(runs::RunEnd::Crashed);
-        target.crash_by(&behaviour);
+        target.crash_as_scripted(&behaviour);
         return std::future::pending().await;
     }
     let mut text = format!(
@@ -131,61 +132,62 @@
         behaviour::AnswerForm::Whole => {}
         behaviour::AnswerForm::Failing => status = StatusCode::INTERNAL_SERVER_ERROR,
         behaviour::AnswerForm::Never => return std::future::pending().await,
-        behaviour::AnswerForm::InPart => return stream_answer(status, text, &behaviour, run),
+        behaviour::AnswerForm::InPart => return stream_response(status, text, &behaviour, run),
     }
     if behaviour.pieces > 1 {
-        return stream_answer(status, text, &behaviour, run);
+        return stream_response(status, text, &behaviour, run);
     }
     run.end(runs::RunEnd::Answered);
-    text_answer(status, &padded(text, behaviour.answer_bytes))
+    text_response(status, &pad(text, behaviour.answer_bytes))
 }
 
-fn describe(parts: &hyper::http::request::Parts, body_bytes: usize) -> runs::RunRecord {
+fn run_record(parts: &hyper::http::request::Parts, body_bytes: usize) -> runs::RunRecord {
     runs::RunRecord {
         method: parts.method.to_string(),
         path: parts.uri.to_string(),
-        key: text_header(parts, headers::KEY).map(Into::into),
+        key: header_text(parts, headers::KEY).map(Into::into),
         body_bytes,
         began: 0,
         ended: None,
     }
 }
 
-fn text_header<'a>(parts: &'a hyper::http::request::Parts, name: &str) -> Option<&'a str> {
+fn header_text<'a>(parts: &'a hyper::http::request::Parts, name: &str) -> Option<&'a str> {
     parts
         .headers
         .get(name)
         .and_then(|value| value.to_str().ok())
 }
 
-fn crashes(parts: &hyper::http::request::Parts) -> bool {
+fn requests_crash(parts: &hyper::http::request::Parts) -> bool {
     parts.headers.contains_key(behaviour::CRASH_HEADER)
-        || parts.uri.path().contains(behaviour::CRASH_MARK)
+        || parts.uri.path().contains(behaviour::CRASH_MARKER)
 }
 
 fn next_service<'a>(
     behaviour: &'a behaviour::StandInBehaviour,
     parts: &hyper::http::request::Parts,
 ) -> Option<&'a behaviour::NextService> {
-    let hops = text_header(parts, behaviour::HOPS_HEADER);
+    let hops = header_text(parts, behaviour::HOPS_HEADER);
     behaviour.next.as_ref().filter(|_next| hops != Some("0"))
 }
 
-/// Asks the next service, with the deadline, the key and the attempt that came along and one hop less.
+/// Calls the next service with the deadline, idempotency key and attempt number of the request and
+/// the hop count decremented.
 async fn forward(
     next: &behaviour::NextService,
     parts: &hyper::http::request::Parts,
     body: Bytes,
 ) -> (StatusCode, String) {
-    let own = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let path = next.path.as_deref().unwrap_or(own);
+    let request_path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
+    let path = next.path.as_deref().unwrap_or(request_path);
     let mut builder = Request::builder().method(parts.method.clone()).uri(path);
     for name in [headers::KEY, headers::DEADLINE, headers::ATTEMPT] {
         if let Some(value) = parts.headers.get(name) {
             builder = builder.header(name, value);
         }
     }
-    let hops = text_header(parts, behaviour::HOPS_HEADER).and_then(|hops| hops.parse::<u32>().ok());
+    let hops = header_text(parts, behaviour::HOPS_HEADER).and_then(|hops| hops.parse::<u32>().ok());
     if let Some(hops) = hops {
         builder = builder.header(behaviour::HOPS_HEADER, hops.saturating_sub(1));
     }
@@ -204,29 +206,29 @@
     }
 }
 
-fn padded(mut text: String, least: usize) -> String {
-    while text.len() < least {
+fn pad(mut text: String, min_bytes: usize) -> String {
+    while text.len() < min_bytes {
         text.push('.');
     }
     text
 }
 
-/// State of a body on its way.
-struct BodyPieces {
+/// State of a response body that is being streamed. The pieces are in reverse order.
+struct BodyStream {
     pieces: Vec<Bytes>,
     pause: Duration,
-    is_cut: bool,
+    is_truncated: bool,
     run: Option<runs::OpenRun>,
 }
 
-fn stream_answer(
+fn stream_response(
     status: StatusCode,
     text: String,
     behaviour: &behaviour::StandInBehaviour,
     run: runs::OpenRun,
-) -> Response<AnswerBody> {
-    let bytes = Bytes::from(padded(text, behaviour.answer_bytes));
-    let is_cut = behaviour.answer == behaviour::AnswerForm::InPart;
+) -> Response<ResponseBody> {
+    let bytes = Bytes::from(pad(text, behaviour.answer_bytes));
+    let is_truncated = behaviour.answer == behaviour::AnswerForm::InPart;
     let count = (behaviour.pieces as usize).max(2);
     let size = bytes.len().div_ceil(count).max(1);
     let mut pieces: Vec<Bytes> = (0..bytes.len())
@@ -234,13 +236,13 @@
         .map(|from| bytes.slice(from..(from + size).min(bytes.len())))
         .collect();
     pieces.reverse();
-    if is_cut {
+    if is_truncated {
         pieces.remove(0);
     }
-    let state = BodyPieces {
+    let state = BodyStream {
         pieces,
         pause: Duration::from_millis(behaviour.piece_pause_ms),
-        is_cut,
+        is_truncated,
         run: Some(run),
     };
     let length = bytes.len();
@@ -252,27 +254,30 @@
     response
 }
 
-type PieceFuture = Pin<Box<dyn Future<Output = Option<(PieceResult, BodyPieces)>> + Send>>;
+type PieceFuture = Pin<Box<dyn Future<Output = Option<(PieceResult, BodyStream)>> + Send>>;
 type PieceResult = Result<Frame<Bytes>, std::io::Error>;
 
-fn next_piece(mut state: BodyPieces) -> PieceFuture {
+fn next_piece(mut state: BodyStream) -> PieceFuture {
     Box::pin(async move {
         time::sleep(state.pause).await;
         if let Some(piece) = state.pieces.pop() {
-            if state.pieces.is_empty() && !state.is_cut {
+            if state.pieces.is_empty() && !state.is_truncated {
                 state.end(runs::RunEnd::Answered);
             }
             return Some((Ok(Frame::data(piece)), state));
         }
-        if !state.is_cut {
+        if !state.is_truncated {
             return None;
         }
         state.end(runs::RunEnd::Cut);
-        Some((Err(std::io::Error::other("cut by the script")), state))
+        Some((
+            Err(std::io::Error::other("body truncated as scripted")),
+            state,
+        ))
     })
 }
 
-impl BodyPieces {
+impl BodyStream {
     fn end(&mut self, end: runs::RunEnd) {
         if let Some(run) = self.run.take() {
             run.end(end);
@@ -280,12 +285,12 @@
     }
 }
 
-fn json_answer<T: Serialize>(value: &T) -> Response<AnswerBody> {
-    let text = serde_json::to_string(value).expect("it has only text keys");
-    text_answer(StatusCode::OK, &text)
+fn json_response<T: Serialize>(value: &T) -> Response<ResponseBody> {
+    let text = serde_json::to_string(value).expect("the document has only text keys");
+    text_response(StatusCode::OK, &text)
 }
 
-fn text_answer(status: StatusCode, text: &str) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, text: &str) -> Response<ResponseBody> {
     let body = Full::new(Bytes::from(text.to_owned())).map_err(|never| match never {});
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = status;
--- a/crates/standin/src/behaviour.rs
+++ b/crates/standin/src/behaviour.rs
@@ -1,82 +1,85 @@
-//! How a stand-in behaves: a script that can be changed while it runs.
+//! Scripted behaviour of a stand-in, which can be changed while it runs.
 
 use std::{net::SocketAddr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Header that makes a request crash the target that runs it, whatever its value.
+/// Header that makes a request crash the target that runs it. Its value is ignored.
 pub const CRASH_HEADER: &str = "stand-in-crash";
-/// Part of a path that makes a request crash the target that runs it.
-pub const CRASH_MARK: &str = "crash-target";
-/// Header with the hops that a request still makes; absent: one at each target with a next service.
+/// Substring of a path that makes a request crash the target that runs it.
+pub const CRASH_MARKER: &str = "crash-target";
+/// Header with the number of times that a request may still be forwarded. Without it, each target
+/// that has a next service forwards the request.
 pub const HOPS_HEADER: &str = "stand-in-hops";
 
-/// What an answer is like.
+/// How a stand-in responds to requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerForm {
-    /// Whole.
+    /// With a complete response.
     #[default]
     Whole,
-    /// Status 500.
+    /// With status 500.
     Failing,
-    /// None comes; the connection stays open.
+    /// Not at all; the connection stays open.
     Never,
-    /// The connection is closed in the middle of the body.
+    /// With a truncated body; the connection is closed in the middle of it.
     InPart,
 }
 
-/// What the health page says.
+/// What the health endpoint reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthForm {
-    /// Whether answers are whole.
+    /// Status 200 if requests get complete responses, else 503.
     #[default]
     Truth,
-    /// Status 200, whatever the answers are like.
+    /// Status 200, however requests are responded to.
     AlwaysWell,
-    /// Status 503, whatever the answers are like.
+    /// Status 503, however requests are responded to.
     AlwaysIll,
 }
 
-/// The service that a request goes on to, through the target's own node.
+/// The service that requests are forwarded to, through the target's own node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NextService {
     /// Callers listener of the node.
     pub callers: SocketAddr,
-    /// Path that is asked for; absent: the one of the request.
+    /// Path of the forwarded requests. Defaults to that of the original request.
     #[serde(default)]
     pub path: Option<String>,
 }
 
-/// How a stand-in behaves.
+/// The scripted behaviour of a stand-in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StandInBehaviour {
-    /// Time that each answer takes, in milliseconds.
+    /// Latency of the responses, in milliseconds.
     pub latency_ms: u64,
-    /// Requests beyond which it sheds with status 503; absent: the slots that it announces.
+    /// Number of concurrent requests above which requests are shed with status 503. Defaults to the
+    /// announced slots.
     pub real_slots: Option<u32>,
-    /// Time after a start during which answers take `cold_latency_ms`, in milliseconds.
+    /// Time after a start during which the latency is `cold_latency_ms`, in milliseconds.
     pub cold_start_ms: u64,
-    /// Time that an answer takes after a start, in milliseconds.
+    /// Latency of the responses after a start, in milliseconds.
     pub cold_latency_ms: u64,
-    /// What an answer is like.
+    /// How requests are responded to.
     pub answer: AnswerForm,
-    /// Least size of an answer's body, in bytes.
+    /// Minimum size of a response body, in bytes.
     pub answer_bytes: usize,
-    /// Pieces that a body is sent in.
+    /// Number of pieces in which a response body is sent.
     pub pieces: u32,
-    /// Time between two pieces, in milliseconds.
+    /// Time before each piece, in milliseconds.
     pub piece_pause_ms: u64,
-    /// Time that it is gone for after a crash, in milliseconds; absent: the process exits.
+    /// Time until the stand-in restarts after a crash, in milliseconds. If absent, the process
+    /// exits.
     pub crash_pause_ms: Option<u64>,
-    /// What the health page says.
+    /// What the health endpoint reports.
     pub health: HealthForm,
-    /// Requests in flight that the load page tells; absent: the truth.
+    /// Number of requests in flight that the load endpoint reports. Defaults to the actual number.
     pub told_in_flight: Option<u32>,
-    /// Where requests go on to.
+    /// Service that requests are forwarded to, if any.
     pub next: Option<NextService>,
 }
 
@@ -100,7 +103,7 @@
 }
 
 impl StandInBehaviour {
-    /// Time that an answer takes, given the time since the start.
+    /// Returns the latency of a response, given the time since the start.
     pub fn latency(&self, since_start: Duration) -> Duration {
         let is_cold = since_start < Duration::from_millis(self.cold_start_ms);
         Duration::from_millis(if is_cold {
@@ -110,8 +113,8 @@
         })
     }
 
-    /// Whether the health page says that it is well.
-    pub fn says_well(&self) -> bool {
+    /// Whether the health endpoint reports the target as healthy.
+    pub fn reports_healthy(&self) -> bool {
         match self.health {
             HealthForm::Truth => self.answer == AnswerForm::Whole,
             HealthForm::AlwaysWell => true,
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP request, for tools and tests that need no kept connection.
+//! Sends a single HTTP request on a new connection, for tools and tests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,54 +9,54 @@
 use snafu::{ResultExt, Snafu};
 use tokio::{net::TcpStream, time};
 
-/// Longest time for a whole exchange.
+/// Timeout of a request, from connecting to the end of the response.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why there is no answer.
+/// Why no response was received.
 #[derive(Debug, Snafu)]
 pub enum ExchangeError {
-    /// No connection could be made: nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     #[snafu(display("not connected: {source}"))]
     NotConnected {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The connection broke; the request may have been taken.
-    #[snafu(display("broken off: {source}"))]
+    /// The connection broke. The request may have been processed.
+    #[snafu(display("connection broken: {source}"))]
     Broken {
-        /// Why.
+        /// The cause.
         source: hyper::Error,
     },
-    /// The answer took too long; the request may have been taken.
+    /// The response did not arrive in time. The request may have been processed.
     #[snafu(display("no answer within {EXCHANGE_TIMEOUT:?}"))]
     TimedOut {
-        /// The timer's word.
+        /// The error of the timer.
         source: time::error::Elapsed,
     },
 }
 
 impl ExchangeError {
-    /// Whether it is certain that nothing was sent.
+    /// Whether nothing was sent for certain.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::NotConnected { .. })
     }
 }
 
-/// Sends a request on a fresh connection and reads the whole answer.
+/// Sends a request on a new connection and reads the whole response.
 pub async fn exchange(
     to: SocketAddr,
     mut request: Request<Full<Bytes>>,
 ) -> Result<Response<Bytes>, ExchangeError> {
     let host = header::HeaderValue::from_str(&to.to_string());
-    let host = host.expect("an address is a header's value");
+    let host = host.expect("an address is a valid header value");
     request.headers_mut().entry(header::HOST).or_insert(host);
-    let exchanging = exchange_slowly(to, request);
-    time::timeout(EXCHANGE_TIMEOUT, exchanging)
+    let exchange = exchange_without_timeout(to, request);
+    time::timeout(EXCHANGE_TIMEOUT, exchange)
         .await
         .context(TimedOutSnafu)?
 }
 
-async fn exchange_slowly(
+async fn exchange_without_timeout(
     to: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Bytes>, ExchangeError> {
@@ -64,10 +64,10 @@
     stream.set_nodelay(true).context(NotConnectedSnafu)?;
     let handshake = http1::handshake(rt::TokioIo::new(stream)).await;
     let (mut sender, connection) = handshake.context(BrokenSnafu)?;
-    let carrier = tokio::spawn(connection);
+    let connection_task = tokio::spawn(connection);
     let response = sender.send_request(request).await.context(BrokenSnafu)?;
     let (parts, body) = response.into_parts();
     let bytes = body.collect().await.context(BrokenSnafu)?.to_bytes();
-    carrier.abort();
+    connection_task.abort();
     Ok(Response::from_parts(parts, bytes))
 }
--- a/crates/standin/src/headers.rs
+++ b/crates/standin/src/headers.rs
@@ -1,17 +1,17 @@
-//! Headers that callers and targets write and read.
+//! Headers that callers and targets use.
 //!
-//! They stand here again, and not by way of the system's own crates, because a caller or a target
-//! knows the documented contract only.
+//! They are defined here independently of the daemon's crates, because callers and targets know
+//! only the documented interface.
 
-/// A caller's key: a resend carries the same one.
+/// Idempotency key of a caller's request. A resend has the same key.
 pub const KEY: &str = "idempotency-key";
-/// Time that a caller leaves, in milliseconds.
+/// Time left until the caller's deadline, in milliseconds.
 pub const DEADLINE: &str = "hazeltiller-deadline-ms";
-/// Largest number of a try along a call's way; a target passes it on with the calls that it makes.
+/// Highest attempt number among the hops of a call. A target copies it to the calls that it makes.
 pub const ATTEMPT: &str = "hazeltiller-attempt";
-/// Result code of an answer that the system made.
+/// Result code of a response that the system generated itself.
 pub const CODE: &str = "hazeltiller-code";
-/// Outcome of an answer that the system made.
+/// Outcome of the request, in a response that the system generated itself.
 pub const OUTCOME: &str = "hazeltiller-outcome";
 /// Value of [`OUTCOME`] for a request that did not run.
 pub const NOT_RUN: &str = "not-run";
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-in targets: small HTTP servers that behave as a script says and log each run.
+//! Stand-in targets, which are small HTTP servers with scripted behaviour that log each run of a
+//! request, and a load generator.
 //!
-//! The demo, the load tool and the tests compare these logs with what callers were told, so a
-//! stand-in notes a run before it answers it.
+//! The demo, the load generator and the tests compare the logs with the outcomes that callers
+//! received. A stand-in therefore logs a run before it responds.
 
 pub mod answer;
 pub mod behaviour;
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,9 +1,10 @@
-//! The load generator: an open loop of requests at a given rate, and the proof of what became of
-//! each.
+//! Open-loop load generator, which checks the outcome of each request against the run logs of the
+//! targets.
 //!
-//! Requests begin when the schedule says so, however slow answers are, and a latency counts from
-//! that moment: a stall is seen by every request that it held up. Each request carries a number of
-//! its own, by which the runs in the stand-ins' logs are compared with what its caller was told.
+//! Requests are scheduled independently of the responses, and latency is measured from the
+//! scheduled time, so that a stall shows in the latency of every request that it delays. Each
+//! request has a unique number, by which its runs in the stand-ins' logs are compared with the
+//! outcome that its caller received.
 
 pub mod call;
 pub mod collect;
@@ -20,12 +21,12 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::{task::JoinSet, time};
 
-/// Time between two reports of progress.
+/// Time between two progress reports.
 const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
 
-/// Runs a load to its end and judges it.
+/// Generates the load, waits until all requests have ended, and checks their outcomes.
 ///
-/// `progress` is called about once a second.
+/// `progress` is called about once per second.
 pub async fn run(
     settings: settings::LoadSettings,
     progress: impl Fn(&collect::LoadProgress),
@@ -40,7 +41,7 @@
     let mut number = 0;
     let mut next_progress = PROGRESS_PERIOD;
     loop {
-        planned += next_gap(&mut random, settings.rate);
+        planned += next_interval(&mut random, settings.rate);
         if planned >= settings.duration {
             break;
         }
@@ -55,7 +56,7 @@
         let (client, records) = (Arc::clone(&client), Arc::clone(&collector));
         calls.spawn(async move {
             let record = client.perform(call).await;
-            records.take(planned, record);
+            records.add(planned, record);
         });
         while let Some(ended) = calls.try_join_next() {
             ended.expect("a call neither panics nor is cancelled");
@@ -71,12 +72,13 @@
     progress(&collector.progress(number, started.elapsed()));
     let logs = verdict::read_logs(&settings.stand_ins).await;
     let records = collector.records();
-    let verdict = verdict::judge(&settings, client.run_name(), &records, &logs);
+    let verdict = verdict::check(&settings, client.run_name(), &records, &logs);
     report::LoadReport::new(&settings, &collector, verdict)
 }
 
-/// Time to the next request: exponential, so that requests come as from many callers.
-fn next_gap(random: &mut ChaCha8Rng, rate: f64) -> Duration {
+/// Returns the time to the next request. It is exponentially distributed, as for arrivals from many
+/// independent callers.
+fn next_interval(random: &mut ChaCha8Rng, rate: f64) -> Duration {
     let uniform: f64 = random.random();
     Duration::from_secs_f64(-(1.0 - uniform).ln() / rate)
 }
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -1,7 +1,7 @@
-//! One request with its resends, as a careful caller makes it.
+//! Sends one request and resends it if necessary.
 //!
-//! A request is sent again only where that is safe: it may run more than once, it carries a key,
-//! or nothing of it can have run.
+//! A request is resent only if that is safe: it is idempotent, it has an idempotency key, or it has
+//! certainly not run.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,41 +16,41 @@
     load::{connections, mix, settings},
 };
 
-/// A request as the schedule has it.
+/// A scheduled request.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannedCall {
-    /// Its number, from 1.
+    /// Number of the request, from 1.
     pub number: u64,
-    /// Index of its kind.
+    /// Index of the kind of request.
     pub kind: usize,
-    /// When it begins.
+    /// Scheduled time of the first send.
     pub planned: time::Instant,
 }
 
-/// What one send came to.
+/// Result of one send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendEnd {
-    /// A target's whole answer with a status below 400.
+    /// A target sent a complete response with a status below 400.
     Answered,
-    /// A target's whole answer with another status.
+    /// A target sent a complete response with a status from 400.
     Failed(StatusCode),
-    /// The system refused.
+    /// The system refused the request.
     Refused {
-        /// Its result code.
+        /// The result code.
         code: String,
-        /// Whether it says that the request did not run.
+        /// Whether the refusal states that the request did not run.
         is_not_run: bool,
     },
-    /// No connection came about.
+    /// No connection could be established.
     NotConnected,
-    /// No answer came, or not within the time.
+    /// The connection broke before a response, or the send timed out.
     Broken,
-    /// The answer broke off in the middle.
+    /// The response was truncated.
     Cut,
 }
 
 impl SendEnd {
-    /// Whether it proves that this send did not run.
+    /// Whether this result proves that the request did not run by this send.
     pub fn is_not_run(&self) -> bool {
         match self {
             Self::Refused { is_not_run, .. } => *is_not_run,
@@ -64,28 +64,28 @@
     }
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallRecord {
-    /// Its number.
+    /// Number of the request.
     pub number: u64,
-    /// Index of its kind.
+    /// Index of the kind of request.
     pub kind: usize,
-    /// Time from its planned begin to its end.
+    /// Time from the scheduled time to the end of the last send.
     pub latency: Duration,
-    /// Times that it was sent.
+    /// Number of sends.
     pub sends: u32,
-    /// How the last send ended.
+    /// Result of the last send.
     pub end: SendEnd,
-    /// Whether every send was proven not to have run.
+    /// Whether the results of all sends prove that the request never ran.
     pub is_never_run: bool,
-    /// Whether an answer belonged to another request.
+    /// Whether a response belonged to another request.
     pub is_crossed: bool,
-    /// Answers that broke off in the middle.
+    /// Number of truncated responses.
     pub cuts: u32,
 }
 
-/// Makes requests.
+/// Sends the requests of a load.
 #[derive(Debug)]
 pub struct LoadClient {
     settings: Arc<settings::LoadSettings>,
@@ -94,7 +94,7 @@
 }
 
 impl LoadClient {
-    /// A client of one load.
+    /// Creates a client for one load.
     pub fn new(settings: Arc<settings::LoadSettings>) -> Self {
         let run_name = format!("{}-{}", unit_time::WallTime::now(), settings.seed);
         Self {
@@ -104,15 +104,15 @@
         }
     }
 
-    /// Name of the load; a request's mark in the logs begins with it.
+    /// Returns the name of the load, with which the tags of its requests start.
     pub fn run_name(&self) -> &str {
         &self.run_name
     }
 
-    /// Makes a request, with its resends.
+    /// Sends a request and resends it if necessary.
     pub async fn perform(&self, call: PlannedCall) -> CallRecord {
         let kind = &self.settings.mix.kinds()[call.kind];
-        let mark = call_mark(&self.run_name, call.number);
+        let tag = call_tag(&self.run_name, call.number);
         let mut record = CallRecord {
             number: call.number,
             kind: call.kind,
@@ -126,15 +126,15 @@
         let mut pause = self.settings.resend_pause;
         loop {
             let node = self.node(call.number + u64::from(record.sends));
-            let (end, is_crossed) = self.send(node, kind, call.number, &mark).await;
+            let (end, is_crossed) = self.send(node, kind, call.number, &tag).await;
             record.sends += 1;
             record.is_never_run &= end.is_not_run();
             record.is_crossed |= is_crossed;
             record.cuts += u32::from(end == SendEnd::Cut);
             let is_safe = kind.is_idempotent() || kind.keyed || record.is_never_run;
-            let is_over = end.is_final() || !is_safe || record.sends >= self.settings.sends;
+            let is_done = end.is_final() || !is_safe || record.sends >= self.settings.sends;
             record.end = end;
-            if is_over {
+            if is_done {
                 record.latency = call.planned.elapsed();
                 return record;
             }
@@ -153,13 +153,13 @@
         node: SocketAddr,
         kind: &mix::RequestKind,
         number: u64,
-        mark: &str,
+        tag: &str,
     ) -> (SendEnd, bool) {
-        let request = prepare(kind, node, number, mark);
+        let request = prepare(kind, node, number, tag);
         let exchange = async {
             match self.connections.send(node, request).await {
                 Ok((response, sender)) => {
-                    let (end, is_crossed) = read(response, mark).await;
+                    let (end, is_crossed) = read(response, tag).await;
                     if !matches!(end, SendEnd::Cut) {
                         self.connections.keep(node, sender);
                     }
@@ -175,8 +175,8 @@
     }
 }
 
-/// What a request's path carries, so that its runs are found in the logs.
-pub fn call_mark(run_name: &str, number: u64) -> String {
+/// Returns the tag in the path of a request, by which its runs are found in the logs.
+pub fn call_tag(run_name: &str, number: u64) -> String {
     format!("call={run_name}-{number}.")
 }
 
@@ -184,17 +184,19 @@
     kind: &mix::RequestKind,
     node: SocketAddr,
     number: u64,
-    mark: &str,
+    tag: &str,
 ) -> Request<Full<Bytes>> {
-    let path = kind.path.replace(mix::NUMBER_MARK, &number.to_string());
-    let joint = if path.contains('?') { '&' } else { '?' };
+    let path = kind
+        .path
+        .replace(mix::NUMBER_PLACEHOLDER, &number.to_string());
+    let separator = if path.contains('?') { '&' } else { '?' };
     let host = kind.host.clone().unwrap_or_else(|| node.to_string());
     let mut builder = Request::builder()
         .method(kind.method.as_str())
-        .uri(format!("{path}{joint}{mark}"))
+        .uri(format!("{path}{separator}{tag}"))
         .header(header::HOST, host);
     if kind.keyed {
-        builder = builder.header(headers::KEY, mark);
+        builder = builder.header(headers::KEY, tag);
     }
     if let Some(deadline_ms) = kind.deadline_ms {
         builder = builder.header(headers::DEADLINE, deadline_ms);
@@ -205,11 +207,11 @@
     let body = Full::from(vec![b'.'; kind.body_bytes]);
     builder
         .body(body)
-        .expect("a mix is tried before a load begins")
+        .expect("the mix was validated before the load was started")
 }
 
-/// Whether requests of a kind can be made at all.
-pub fn is_possible(kind: &mix::RequestKind) -> bool {
+/// Whether the method, path and host of a kind are valid.
+pub fn is_valid(kind: &mix::RequestKind) -> bool {
     let method = hyper::Method::from_bytes(kind.method.as_bytes());
     let uri = kind.path.parse::<hyper::Uri>();
     let host = kind.host.as_deref().unwrap_or("host");
@@ -217,8 +219,8 @@
     method.is_ok() && uri.is_ok() && kind.path.starts_with('/') && host.is_ok()
 }
 
-/// Reads an answer whole; also whether it belongs to another request.
-async fn read(response: Response<Incoming>, mark: &str) -> (SendEnd, bool) {
+/// Reads a whole response. Also returns whether it belongs to another request.
+async fn read(response: Response<Incoming>, tag: &str) -> (SendEnd, bool) {
     let (parts, body) = response.into_parts();
     let Ok(body) = body.collect().await else {
         return (SendEnd::Cut, false);
@@ -240,8 +242,8 @@
         return (SendEnd::Failed(parts.status), false);
     }
     let bytes = body.to_bytes();
-    let is_own = bytes
-        .windows(mark.len())
-        .any(|window| window == mark.as_bytes());
-    (SendEnd::Answered, !is_own && !bytes.is_empty())
+    let has_tag = bytes
+        .windows(tag.len())
+        .any(|window| window == tag.as_bytes());
+    (SendEnd::Answered, !has_tag && !bytes.is_empty())
 }
--- a/crates/standin/src/load/collect.rs
+++ b/crates/standin/src/load/collect.rs
@@ -1,4 +1,5 @@
-//! Figures of a load while it runs: histograms by class and kind, and a series over time.
+//! Collects the results of a load: counts and latency histograms by class and kind, and a time
+//! series by class.
 
 use std::{
     sync::{Mutex, MutexGuard},
@@ -10,73 +11,74 @@
 
 use crate::load::{call, mix, settings};
 
-/// Most points of the series over time.
-const MOST_POINTS: u32 = 120;
-const SHORTEST_POINT: Duration = Duration::from_millis(250);
-const LONGEST_LATENCY: Duration = Duration::from_secs(600);
+/// Highest number of points of the time series.
+const MAX_POINTS: u32 = 120;
+const MIN_POINT_DURATION: Duration = Duration::from_millis(250);
+const MAX_LATENCY: Duration = Duration::from_secs(600);
 const HISTOGRAM_DIGITS: u8 = 3;
 const SERIES_DIGITS: u8 = 2;
 
-/// How far a load is.
+/// Progress of a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadProgress {
-    /// Time since its begin.
+    /// Time since the start.
     pub elapsed: Duration,
-    /// Requests that began.
-    pub begun: u64,
-    /// Requests that were answered.
+    /// Number of started requests.
+    pub started: u64,
+    /// Number of requests answered by a target.
     pub answered: u64,
-    /// Requests that ended otherwise.
+    /// Number of requests that ended otherwise.
     pub not_answered: u64,
 }
 
-/// Figures of a kind or a class.
+/// Results of a kind or a class of requests.
 #[derive(Debug, Clone)]
-pub struct GroupFigures {
-    /// Requests.
+pub struct GroupStatistics {
+    /// Number of requests.
     pub sent: u64,
-    /// Sends beyond the first of a request.
+    /// Number of resends.
     pub resends: u64,
-    /// Requests that a target answered.
+    /// Number of requests answered by a target.
     pub answered: u64,
-    /// Sum of the values of the answered ones.
+    /// Sum of the values of the answered requests.
     pub value: u64,
-    /// Latencies of the answered ones, in microseconds.
+    /// Latencies of the answered requests, in microseconds.
     pub latency: Histogram<u64>,
 }
 
-/// One point of the series of a class.
+/// One point of the time series of a class.
 #[derive(Debug, Clone)]
 pub struct SeriesPoint {
-    /// Sum of the values of what was answered.
+    /// Sum of the values of the answered requests.
     pub value: u64,
-    /// Latencies, in microseconds.
+    /// Latencies of the answered requests, in microseconds.
     pub latency: Histogram<u64>,
 }
 
 #[derive(Debug, Default)]
 struct CollectorState {
     records: Vec<call::CallRecord>,
-    kinds: IndexMap<String, GroupFigures>,
-    classes: IndexMap<String, GroupFigures>,
+    kinds: IndexMap<String, GroupStatistics>,
+    classes: IndexMap<String, GroupStatistics>,
     series: IndexMap<String, Vec<SeriesPoint>>,
     answered: u64,
 }
 
-/// Takes what became of each request.
+/// Collects the outcomes of requests.
 #[derive(Debug)]
 pub struct LoadCollector {
     mix: mix::LoadMix,
-    point: Duration,
+    point_duration: Duration,
     state: Mutex<CollectorState>,
 }
 
 fn histogram(digits: u8) -> Histogram<u64> {
-    let longest = LONGEST_LATENCY.as_micros() as u64;
-    Histogram::new_with_max(longest, digits).expect("the bounds are constants that fit")
+    let max_micros = MAX_LATENCY.as_micros() as u64;
+    Histogram::new_with_max(max_micros, digits)
+        .expect("the bounds of the histogram are valid constants")
 }
 
-impl Default for GroupFigures {
+impl Default for GroupStatistics {
     fn default() -> Self {
         Self {
             sent: 0,
@@ -97,8 +99,8 @@
     }
 }
 
-impl GroupFigures {
-    fn take(&mut self, record: &call::CallRecord, value: u32) {
+impl GroupStatistics {
+    fn add(&mut self, record: &call::CallRecord, value: u32) {
         self.sent += 1;
         self.resends += u64::from(record.sends - 1);
         if record.end == call::SendEnd::Answered {
@@ -111,26 +113,26 @@
 }
 
 impl LoadCollector {
-    /// A collector without figures.
+    /// Creates an empty collector.
     pub fn new(settings: &settings::LoadSettings) -> Self {
         Self {
             mix: settings.mix.clone(),
-            point: (settings.duration / MOST_POINTS).max(SHORTEST_POINT),
+            point_duration: (settings.duration / MAX_POINTS).max(MIN_POINT_DURATION),
             state: Mutex::default(),
         }
     }
 
-    /// Takes a request that was planned at this time after the begin.
-    pub fn take(&self, planned: Duration, record: call::CallRecord) {
+    /// Adds the outcome of a request that was scheduled `planned` after the start.
+    pub fn add(&self, planned: Duration, record: call::CallRecord) {
         let kind = &self.mix.kinds()[record.kind];
         let mut state = self.lock();
-        let figures = state.kinds.entry(kind.name.clone()).or_default();
-        figures.take(&record, kind.value);
-        let figures = state.classes.entry(kind.class.clone()).or_default();
-        figures.take(&record, kind.value);
+        let statistics = state.kinds.entry(kind.name.clone()).or_default();
+        statistics.add(&record, kind.value);
+        let statistics = state.classes.entry(kind.class.clone()).or_default();
+        statistics.add(&record, kind.value);
         if record.end == call::SendEnd::Answered {
             state.answered += 1;
-            let index = (planned.as_secs_f64() / self.point.as_secs_f64()) as usize;
+            let index = (planned.as_secs_f64() / self.point_duration.as_secs_f64()) as usize;
             let points = state.series.entry(kind.class.clone()).or_default();
             if points.len() <= index {
                 points.resize_with(index + 1, SeriesPoint::default);
@@ -142,35 +144,35 @@
         state.records.push(record);
     }
 
-    /// How far the load is.
-    pub fn progress(&self, begun: u64, elapsed: Duration) -> LoadProgress {
+    /// Returns the progress of the load.
+    pub fn progress(&self, started: u64, elapsed: Duration) -> LoadProgress {
         let state = self.lock();
         LoadProgress {
             elapsed,
-            begun,
+            started,
             answered: state.answered,
             not_answered: state.records.len() as u64 - state.answered,
         }
     }
 
-    /// What became of each request, in the order of their ends.
+    /// Returns the outcomes of the requests, in the order in which they ended.
     pub fn records(&self) -> Vec<call::CallRecord> {
         self.lock().records.clone()
     }
 
-    /// Figures by kind.
-    pub fn kinds(&self) -> IndexMap<String, GroupFigures> {
+    /// Returns the results by kind.
+    pub fn kinds(&self) -> IndexMap<String, GroupStatistics> {
         self.lock().kinds.clone()
     }
 
-    /// Figures by class.
-    pub fn classes(&self) -> IndexMap<String, GroupFigures> {
+    /// Returns the results by class.
+    pub fn classes(&self) -> IndexMap<String, GroupStatistics> {
         self.lock().classes.clone()
     }
 
-    /// The series by class, and the time from one point to the next.
+    /// Returns the time series by class, and the time between two points.
     pub fn series(&self) -> (IndexMap<String, Vec<SeriesPoint>>, Duration) {
-        (self.lock().series.clone(), self.point)
+        (self.lock().series.clone(), self.point_duration)
     }
 
     fn lock(&self) -> MutexGuard<'_, CollectorState> {
--- a/crates/standin/src/load/connections.rs
+++ b/crates/standin/src/load/connections.rs
@@ -1,4 +1,4 @@
-//! Kept connections to nodes; each carries one request at a time.
+//! Pool of persistent connections to nodes, each of which carries one request at a time.
 
 use std::{
     net::SocketAddr,
@@ -16,34 +16,35 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection that is kept.
+/// A pooled connection.
 pub type NodeSender = http1::SendRequest<Full<Bytes>>;
 
-/// Why there was no answer.
+/// Why no response was received.
 #[derive(Debug, Snafu)]
 pub enum SendError {
-    /// No connection came about: nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     #[snafu(display("not connected: {message}"))]
     NotConnected {
-        /// Why.
+        /// The cause.
         message: String,
     },
     /// The connection broke.
     #[snafu(display("broken: {source}"))]
     Broken {
-        /// Why.
+        /// The cause.
         source: hyper::Error,
     },
 }
 
-/// Connections by node.
+/// Idle connections by node.
 #[derive(Debug, Default)]
 pub struct NodeConnections {
     idle: Mutex<IndexMap<SocketAddr, Vec<NodeSender>>>,
 }
 
 impl NodeConnections {
-    /// Sends a request; the connection is to be kept once the answer was read whole.
+    /// Sends a request. Returns the response and the connection, which the caller passes to
+    /// [`Self::keep`] after it has read the whole response.
     pub async fn send(
         &self,
         to: SocketAddr,
@@ -53,7 +54,7 @@
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, sender)),
                 Err(mut error) => match error.take_message() {
-                    // The kept connection was closed meanwhile, and nothing went out on it.
+                    // The node had closed the idle connection, and nothing was sent on it.
                     Some(unsent) => request = unsent,
                     None => {
                         let source = error.into_error();
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Returns a connection to the pool after its response has been read completely.
     pub fn keep(&self, to: SocketAddr, sender: NodeSender) {
         if !sender.is_closed() {
             self.lock().entry(to).or_default().push(sender);
--- a/crates/standin/src/load/mix.rs
+++ b/crates/standin/src/load/mix.rs
@@ -1,47 +1,47 @@
-//! Kinds of requests and their weights, read from a file in JSON with comments.
+//! The mix of requests of a load: kinds and their weights, read from a file in JSON with comments.
 
 use hazeltiller_units::jsonc;
 use serde::Deserialize;
 
-/// Place in a path that is replaced by the request's number.
-pub const NUMBER_MARK: &str = "{n}";
+/// Placeholder in a path for the number of the request.
+pub const NUMBER_PLACEHOLDER: &str = "{n}";
 
 /// A kind of request.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestKind {
-    /// Its name in the report.
+    /// Name in the report.
     pub name: String,
-    /// Class that it is reported under.
+    /// Class under which the kind is reported.
     #[serde(default = "unnamed_class")]
     pub class: String,
-    /// Method.
+    /// HTTP method.
     #[serde(default = "get")]
     pub method: String,
-    /// Path; `{n}` in it is replaced by the request's number.
+    /// Path, in which `{n}` is replaced by the number of the request.
     pub path: String,
-    /// Host; absent: the node's address.
+    /// Host header. Defaults to the address of the node.
     #[serde(default)]
     pub host: Option<String>,
-    /// Share of the mix.
+    /// Relative frequency in the mix.
     #[serde(default = "one")]
     pub weight: u32,
-    /// What an answer of it is worth in goodput.
+    /// Value of an answered request in the goodput.
     #[serde(default = "one")]
     pub value: u32,
-    /// Size of its body, in bytes.
+    /// Size of the request body, in bytes.
     #[serde(default)]
     pub body_bytes: usize,
-    /// Whether it carries a key.
+    /// Whether requests have an idempotency key.
     #[serde(default)]
     pub keyed: bool,
-    /// Whether it may run more than once; absent: GET, HEAD and OPTIONS may.
+    /// Whether requests are idempotent. By default, GET, HEAD and OPTIONS requests are.
     #[serde(default)]
     pub idempotent: Option<bool>,
-    /// Deadline that it carries, in milliseconds.
+    /// Deadline sent with requests, in milliseconds.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Whether it crashes the stand-in that runs it.
+    /// Whether requests crash the stand-in that runs them.
     #[serde(default)]
     pub crashes: bool,
 }
@@ -59,7 +59,7 @@
 }
 
 impl RequestKind {
-    /// A GET of a path, alone in its mix.
+    /// Returns a kind of GET requests for a path, with all other fields at their defaults.
     pub fn get(path: &str) -> Self {
         Self {
             name: path.into(),
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Whether it may run more than once.
+    /// Whether requests of this kind are idempotent.
     pub fn is_idempotent(&self) -> bool {
         self.idempotent
             .unwrap_or(matches!(self.method.as_str(), "GET" | "HEAD" | "OPTIONS"))
     }
 }
 
-/// Kinds of requests; never empty.
+/// Kinds of requests, with at least one of positive weight.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(try_from = "MixDocument")]
 pub struct LoadMix {
@@ -107,35 +107,35 @@
 }
 
 impl LoadMix {
-    /// A mix of kinds.
+    /// Creates a mix. Fails if no kind has a positive weight.
     pub fn new(kinds: Vec<RequestKind>) -> Result<Self, &'static str> {
         let total: u64 = kinds.iter().map(|kind| u64::from(kind.weight)).sum();
         if total == 0 {
-            return Err("a mix needs a kind with a weight of at least 1");
+            return Err("a mix must have a kind with a weight of at least 1");
         }
         Ok(Self { kinds, total })
     }
 
-    /// Reads the text of a file: `{"kinds": [{"name": ..., "path": ...}]}`.
+    /// Parses the text of a file: `{"kinds": [{"name": ..., "path": ...}]}`.
     pub fn parse(text: &str) -> Result<Self, jsonc::JsoncError> {
         jsonc::parse_jsonc(text)
     }
 
-    /// Its kinds.
+    /// Returns the kinds.
     pub fn kinds(&self) -> &[RequestKind] {
         &self.kinds
     }
 
-    /// The index of the kind that a random number stands for.
+    /// Maps a random number to the index of a kind, with a probability proportional to its weight.
     pub fn choose(&self, random: u64) -> usize {
-        let mut left = random % self.total;
+        let mut remainder = random % self.total;
         for (index, kind) in self.kinds.iter().enumerate() {
             let weight = u64::from(kind.weight);
-            if left < weight {
+            if remainder < weight {
                 return index;
             }
-            left -= weight;
+            remainder -= weight;
         }
-        unreachable!("what is left is less than the sum of the weights")
+        unreachable!("the remainder is less than the sum of the weights")
     }
 }
--- a/crates/standin/src/load/plot.rs
+++ b/crates/standin/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! The plot of a load: latency and goodput by class over time, as SVG.
+//! Plots the latency and goodput of a load by class over time, as SVG.
 
 use std::{error::Error, path::Path};
 
@@ -16,20 +16,20 @@
 const LABEL_SIZE: u32 = 40;
 const LEGEND_LENGTH: i32 = 16;
 
-/// A line: a value for each time in seconds.
+/// Points of a line: time in seconds and value.
 pub type PlotLine = Vec<(f64, f64)>;
 
-/// What is plotted.
+/// The plotted time series.
 #[derive(Debug, Clone, Default)]
 pub struct LoadSeries {
-    /// Latency that 99 in 100 answers keep, in milliseconds, by class.
+    /// 99th percentile of the latency, in milliseconds, by class.
     pub latency: IndexMap<String, PlotLine>,
-    /// Goodput a second by class.
+    /// Goodput per second, by class.
     pub goodput: IndexMap<String, PlotLine>,
 }
 
 impl LoadSeries {
-    /// The series of a load.
+    /// Returns the time series of a load.
     pub fn new(collector: &collect::LoadCollector) -> Self {
         let (classes, point) = collector.series();
         let seconds = point.as_secs_f64();
@@ -56,8 +56,8 @@
         let root = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
         root.fill(&WHITE)?;
         let (upper, lower) = root.split_vertically(HEIGHT / 2);
-        draw(&upper, "latency, 99 in 100, ms", &self.latency)?;
-        draw(&lower, "goodput a second", &self.goodput)?;
+        draw(&upper, "p99 latency, ms", &self.latency)?;
+        draw(&lower, "goodput per second", &self.goodput)?;
         root.present()?;
         Ok(())
     }
@@ -71,14 +71,14 @@
     lines: &IndexMap<String, PlotLine>,
 ) -> Result<(), Box<dyn Error>> {
     let points = || lines.values().flatten();
-    let last = points().fold(1.0, |last: f64, (at, _)| last.max(*at));
-    let top = points().fold(1.0, |top: f64, (_, value)| top.max(*value));
+    let end = points().fold(1.0, |end: f64, (at, _)| end.max(*at));
+    let max_value = points().fold(1.0, |highest: f64, (_, value)| highest.max(*value));
     let mut chart = ChartBuilder::on(area)
         .caption(caption, ("sans-serif", CAPTION_SIZE))
         .margin(8)
         .x_label_area_size(LABEL_SIZE)
         .y_label_area_size(LABEL_SIZE)
-        .build_cartesian_2d(0.0..last, 0.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..end, 0.0..max_value * 1.05)?;
     chart.configure_mesh().x_desc("seconds").draw()?;
     for (index, (class, line)) in lines.iter().enumerate() {
         let colour = Palette99::pick(index).to_rgba();
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of a load, for people and for scripts.
+//! The report of a load, which is printed as text or JSON.
 
 use std::fmt;
 
@@ -7,53 +7,53 @@
 
 use crate::load::{call, collect, plot, settings, verdict};
 
-/// Figures of a kind or a class.
+/// Results of a kind or a class of requests.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct GroupReport {
-    /// Requests.
+    /// Number of requests.
     pub sent: u64,
-    /// Sends beyond the first of a request.
+    /// Number of resends.
     pub resends: u64,
-    /// Requests that a target answered.
+    /// Number of requests answered by a target.
     pub answered: u64,
-    /// Sum of the values of the answered ones, a second.
+    /// Sum of the values of the answered requests, per second.
     pub goodput: f64,
-    /// Latency that half of the answers keep, in milliseconds.
+    /// Median of the latency, in milliseconds.
     pub p50_ms: f64,
-    /// Latency that 99 in 100 answers keep, in milliseconds.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// Latency that 999 in 1000 answers keep, in milliseconds.
+    /// 99.9th percentile of the latency, in milliseconds.
     pub p999_ms: f64,
-    /// Longest latency, in milliseconds.
+    /// Maximum latency, in milliseconds.
     pub max_ms: f64,
 }
 
 /// The report of a load.
 #[derive(Debug, Clone, Serialize)]
 pub struct LoadReport {
-    /// Seed of its choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Requests a second that were asked for.
+    /// Configured rate, in requests per second.
     pub rate: f64,
-    /// Seconds in which requests began.
+    /// Time during which requests were started, in seconds.
     pub seconds: f64,
-    /// Requests.
+    /// Number of requests.
     pub sent: u64,
-    /// Sends beyond the first of a request.
+    /// Number of resends.
     pub resends: u64,
-    /// Requests that a target answered.
+    /// Number of requests answered by a target.
     pub answered: u64,
-    /// Requests that a target failed, by status.
+    /// Number of requests to which a target responded with an error, by status.
     pub failed: IndexMap<String, u64>,
-    /// Requests that the system refused, by code and outcome.
+    /// Number of requests that the system refused, by result code and outcome.
     pub refused: IndexMap<String, u64>,
-    /// Requests without an answer, by how the last send ended.
+    /// Number of requests without a complete response, by the result of the last send.
     pub unanswered: IndexMap<String, u64>,
-    /// By class.
+    /// Results by class.
     pub classes: IndexMap<String, GroupReport>,
-    /// By kind.
+    /// Results by kind.
     pub kinds: IndexMap<String, GroupReport>,
-    /// What must not be.
+    /// Result of the check against the targets' logs.
     pub verdict: verdict::LoadVerdict,
     /// Latency and goodput over time, for the plot.
     #[serde(skip)]
@@ -61,7 +61,7 @@
 }
 
 impl LoadReport {
-    /// The report of a load that ended.
+    /// Creates the report of a load that has ended.
     pub fn new(
         settings: &settings::LoadSettings,
         collector: &collect::LoadCollector,
@@ -111,26 +111,26 @@
 }
 
 fn groups(
-    figures: &IndexMap<String, collect::GroupFigures>,
+    statistics: &IndexMap<String, collect::GroupStatistics>,
     seconds: f64,
 ) -> IndexMap<String, GroupReport> {
-    let report = |figures: &collect::GroupFigures| {
+    let report = |statistics: &collect::GroupStatistics| {
         let ms = |micros: u64| micros as f64 / 1000.0;
-        let quantile = |quantile: f64| ms(figures.latency.value_at_quantile(quantile));
+        let quantile = |quantile: f64| ms(statistics.latency.value_at_quantile(quantile));
         GroupReport {
-            sent: figures.sent,
-            resends: figures.resends,
-            answered: figures.answered,
-            goodput: figures.value as f64 / seconds,
+            sent: statistics.sent,
+            resends: statistics.resends,
+            answered: statistics.answered,
+            goodput: statistics.value as f64 / seconds,
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
             p999_ms: quantile(0.999),
-            max_ms: ms(figures.latency.max()),
+            max_ms: ms(statistics.latency.max()),
         }
     };
-    let mut groups: IndexMap<_, _> = figures
+    let mut groups: IndexMap<_, _> = statistics
         .iter()
-        .map(|(name, figures)| (name.clone(), report(figures)))
+        .map(|(name, statistics)| (name.clone(), report(statistics)))
         .collect();
     groups.sort_unstable_keys();
     groups
@@ -140,7 +140,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "{} requests in {:.1} s (asked: {} a second, seed {}), {} resends, {} answered",
+            "{} requests in {:.1} s (rate: {} per second, seed {}), {} resends, {} answered",
             self.sent, self.seconds, self.rate, self.seed, self.resends, self.answered
         )?;
         let counts = [
@@ -148,9 +148,9 @@
             ("refused", &self.refused),
             ("without an answer", &self.unanswered),
         ];
-        for (what, counts) in counts {
+        for (label, counts) in counts {
             for (name, count) in counts {
-                writeln!(f, "{what}: {name}: {count}")?;
+                writeln!(f, "{label}: {name}: {count}")?;
             }
         }
         write_groups(f, "class", &self.classes)?;
@@ -165,8 +165,8 @@
         if !verdict.is_proven {
             return writeln!(
                 f,
-                "lost {}, cut {}, crossed {}; no log of a target was read: doubled and wrongly \
-                 refused are not known",
+                "lost {}, cut {}, crossed {}; no log of a target was read, so doubled and \
+                 wrongly refused are unknown",
                 verdict.lost, verdict.cut, verdict.crossed
             );
         }
@@ -185,7 +185,7 @@
         for address in &verdict.unread_logs {
             writeln!(
                 f,
-                "not judged whole: the log of {address} could not be read"
+                "incomplete check: the log of {address} could not be read"
             )?;
         }
         for name in &verdict.named {
@@ -197,12 +197,12 @@
 
 fn write_groups(
     f: &mut fmt::Formatter<'_>,
-    what: &str,
+    heading: &str,
     groups: &IndexMap<String, GroupReport>,
 ) -> fmt::Result {
     writeln!(
         f,
-        "{what:<20} {:>9} {:>9} {:>11} {:>9} {:>9} {:>9} {:>9}",
+        "{heading:<20} {:>9} {:>9} {:>11} {:>9} {:>9} {:>9} {:>9}",
         "sent", "answered", "goodput/s", "p50 ms", "p99 ms", "p99.9 ms", "max ms"
     )?;
     for (name, group) in groups {
--- a/crates/standin/src/load/settings.rs
+++ b/crates/standin/src/load/settings.rs
@@ -1,4 +1,4 @@
-//! What a load is started with.
+//! Settings of a load.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,26 +10,26 @@
 const DEFAULT_SENDS: u32 = 3;
 const DEFAULT_RESEND_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a load is started with; made by [`LoadSettings::builder`].
+/// Settings of a load, created by [`LoadSettings::builder`].
 #[derive(Debug, Clone)]
 pub struct LoadSettings {
-    /// Callers listeners, asked in turn.
+    /// Callers listeners of the nodes, used in turn.
     pub nodes: Vec<SocketAddr>,
     /// Kinds of requests.
     pub mix: mix::LoadMix,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Time in which requests begin.
+    /// Time during which requests are started.
     pub duration: Duration,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Longest time of one send.
+    /// Timeout of one send.
     pub timeout: Duration,
-    /// Times that a request is sent in all, where it may be sent again.
+    /// Highest number of sends of a request that may safely be resent.
     pub sends: u32,
-    /// Time before the first resend; it doubles with each.
+    /// Time before the first resend. Doubles with each resend.
     pub resend_pause: Duration,
-    /// Stand-ins whose logs the verdict rests on.
+    /// Stand-ins whose logs the outcomes are checked against.
     pub stand_ins: Vec<SocketAddr>,
 }
 
@@ -40,13 +40,13 @@
 }
 
 impl LoadSettings {
-    /// A builder of a load on `nodes`.
+    /// Returns a builder of the settings for a load on `nodes`.
     ///
     /// # Panics
     ///
-    /// When there are no nodes.
+    /// Panics if `nodes` is empty.
     pub fn builder(nodes: Vec<SocketAddr>, mix: mix::LoadMix) -> LoadBuilder {
-        assert!(!nodes.is_empty(), "a load needs a node");
+        assert!(!nodes.is_empty(), "a load needs at least one node");
         let settings = Self {
             nodes,
             mix,
@@ -63,35 +63,35 @@
 }
 
 impl LoadBuilder {
-    /// Sets the requests a second.
+    /// Sets the requests per second.
     #[must_use]
     pub fn rate(mut self, rate: f64) -> Self {
         self.settings.rate = rate;
         self
     }
 
-    /// Sets the time in which requests begin.
+    /// Sets the time during which requests are started.
     #[must_use]
     pub fn duration(mut self, duration: Duration) -> Self {
         self.settings.duration = duration;
         self
     }
 
-    /// Sets the seed.
+    /// Sets the seed of the random number generator.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.settings.seed = seed;
         self
     }
 
-    /// Sets the longest time of one send.
+    /// Sets the timeout of one send.
     #[must_use]
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.settings.timeout = timeout;
         self
     }
 
-    /// Sets how many times a request is sent in all, where it may be sent again.
+    /// Sets the highest number of sends of a request that may safely be resent.
     #[must_use]
     pub fn sends(mut self, sends: u32) -> Self {
         self.settings.sends = sends.max(1);
@@ -105,14 +105,14 @@
         self
     }
 
-    /// Sets the stand-ins whose logs are read.
+    /// Sets the stand-ins whose logs the outcomes are checked against.
     #[must_use]
     pub fn stand_ins(mut self, stand_ins: Vec<SocketAddr>) -> Self {
         self.settings.stand_ins = stand_ins;
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn build(self) -> LoadSettings {
         self.settings
     }
--- a/crates/standin/src/load/verdict.rs
+++ b/crates/standin/src/load/verdict.rs
@@ -1,4 +1,4 @@
-//! What callers were told, compared with what the stand-ins ran.
+//! Checks the outcomes that callers received against the run logs of the stand-ins.
 
 use std::net::SocketAddr;
 
@@ -13,15 +13,15 @@
     runs,
 };
 
-/// Requests that are named one by one in a verdict.
-const MOST_NAMED: usize = 20;
+/// Highest number of faulty requests listed in a verdict.
+const MAX_LISTED_FAULTS: usize = 20;
 
-/// The logs that could be read.
+/// Run logs read from the stand-ins.
 #[derive(Debug, Clone, Default)]
-pub struct ReadLogs {
+pub struct RunLogs {
     /// Runs of all stand-ins.
     pub runs: Vec<runs::RunRecord>,
-    /// Stand-ins that did not answer.
+    /// Stand-ins whose logs could not be read.
     pub unread: Vec<SocketAddr>,
 }
 
@@ -30,33 +30,33 @@
     runs: Vec<runs::RunRecord>,
 }
 
-/// Counts of what must not be.
+/// Counts of faulty requests. A correct system causes none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct LoadVerdict {
-    /// Requests that ended without an answer of a target or a refusal.
+    /// Requests that ended without a complete response or a refusal.
     pub lost: u64,
-    /// Requests that may run once and ran more often.
+    /// Requests that are not idempotent and ran more than once.
     pub doubled: u64,
-    /// Answers that broke off in the middle.
+    /// Requests of which a response was truncated.
     pub cut: u64,
-    /// Answers that belonged to another request.
+    /// Requests that received a response to another request.
     pub crossed: u64,
-    /// Requests that ran though every send was proven not to have run.
+    /// Requests that ran although the results of all sends state that they did not.
     pub wrongly_refused: u64,
-    /// Requests that were answered though no log has a run of them.
+    /// Requests that were answered although no log contains a run of them.
     pub answered_without_run: u64,
-    /// Runs of this load in the logs.
+    /// Number of runs of this load in the logs.
     pub runs: u64,
-    /// Stand-ins whose logs were not read: what rests on them is not judged whole.
+    /// Stand-ins whose logs could not be read, so that the check is incomplete.
     pub unread_logs: Vec<SocketAddr>,
     /// Whether any log was read.
     pub is_proven: bool,
-    /// Marks of the first requests at fault.
+    /// The first faulty requests: kind, tag and result of the last send.
     pub named: Vec<String>,
 }
 
 impl LoadVerdict {
-    /// Whether nothing is at fault.
+    /// Whether no request is faulty and all logs were read.
     pub fn is_clean(&self) -> bool {
         let faults = [
             self.lost,
@@ -70,9 +70,9 @@
     }
 }
 
-/// Reads the logs of stand-ins.
-pub async fn read_logs(stand_ins: &[SocketAddr]) -> ReadLogs {
-    let mut logs = ReadLogs::default();
+/// Reads the run logs of stand-ins.
+pub async fn read_logs(stand_ins: &[SocketAddr]) -> RunLogs {
+    let mut logs = RunLogs::default();
     for address in stand_ins {
         match read_log(*address).await {
             Some(document) => logs.runs.extend(document.runs),
@@ -83,17 +83,17 @@
 }
 
 async fn read_log(address: SocketAddr) -> Option<RunsDocument> {
-    let request = Request::get(answer::RUNS_PAGE).body(Full::default()).ok()?;
+    let request = Request::get(answer::RUNS_PATH).body(Full::default()).ok()?;
     let response = client::exchange(address, request).await.ok()?;
     serde_json::from_slice(response.body()).ok()
 }
 
-/// Judges a load.
-pub fn judge(
+/// Compares the outcomes of the requests of a load with the run logs.
+pub fn check(
     settings: &settings::LoadSettings,
     run_name: &str,
     records: &[call::CallRecord],
-    logs: &ReadLogs,
+    logs: &RunLogs,
 ) -> LoadVerdict {
     let counts = count_runs(run_name, &logs.runs);
     let is_proven = settings.stand_ins.len() > logs.unread.len();
@@ -123,16 +123,16 @@
                     && runs == 0,
             ),
         ];
-        let mut is_at_fault = false;
-        for (count, is_so) in faults {
-            *count += u64::from(is_so);
-            is_at_fault |= is_so;
+        let mut is_faulty = false;
+        for (count, has_fault) in faults {
+            *count += u64::from(has_fault);
+            is_faulty |= has_fault;
         }
-        if is_at_fault && verdict.named.len() < MOST_NAMED {
-            let mark = call::call_mark(run_name, record.number);
+        if is_faulty && verdict.named.len() < MAX_LISTED_FAULTS {
+            let tag = call::call_tag(run_name, record.number);
             verdict
                 .named
-                .push(format!("{} {mark} {:?}", kind.name, record.end));
+                .push(format!("{} {tag} {:?}", kind.name, record.end));
         }
     }
     verdict
@@ -146,12 +146,12 @@
 }
 
 fn count_runs(run_name: &str, runs: &[runs::RunRecord]) -> IndexMap<u64, u64> {
-    let begin = format!("call={run_name}-");
+    let prefix = format!("call={run_name}-");
     let mut counts = IndexMap::new();
     for run in runs {
         let number = run
             .path
-            .split_once(&begin)
+            .split_once(&prefix)
             .and_then(|(_, rest)| rest.split_once('.'))
             .and_then(|(number, _)| number.parse().ok());
         if let Some(number) = number {
--- a/crates/standin/src/runs.rs
+++ b/crates/standin/src/runs.rs
@@ -1,7 +1,7 @@
-//! The log of a stand-in's runs.
+//! The run log of a stand-in.
 //!
-//! A run stands in the log before anything of its answer is sent, so that no answered request can
-//! be missing from it.
+//! A run is logged before any part of its response is sent, so that the log contains every answered
+//! request.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -11,49 +11,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// Its answer was handed over whole.
+    /// The whole response was handed to the HTTP connection.
     Answered,
-    /// Its answer was cut by the script.
+    /// The response was truncated as scripted.
     Cut,
-    /// It crashed the target.
+    /// The request crashed the target.
     Crashed,
-    /// Its caller went away, or the target crashed beside it.
+    /// The caller disconnected, or another request crashed the target.
     Dropped,
 }
 
 /// One run of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// The caller's key.
+    /// Idempotency key of the caller.
     pub key: Option<String>,
-    /// Bytes of the request's body.
+    /// Size of the request body, in bytes.
     pub body_bytes: usize,
-    /// Place of its begin among all begins and ends of this target.
+    /// Sequence number of the start of the run among all starts and ends of runs at this target.
     pub began: u64,
-    /// Place of its end among them, and how it ended.
+    /// Sequence number of the end of the run among them, and how the run ended.
     pub ended: Option<(u64, RunEnd)>,
 }
 
 #[derive(Debug, Default)]
 struct LogState {
     records: Vec<RunRecord>,
-    places: u64,
+    last_sequence: u64,
     running: u32,
     most_running: u32,
     shed: u64,
 }
 
-/// The log of a stand-in.
+/// The run log of a stand-in.
 #[derive(Debug, Clone, Default)]
 pub struct RunLog {
     state: Arc<Mutex<LogState>>,
 }
 
-/// A run that goes on; dropped before its end is told, it was dropped itself.
+/// A run in progress. If it is dropped before [`OpenRun::end`] is called, the run is logged as
+/// [`RunEnd::Dropped`].
 #[derive(Debug)]
 pub struct OpenRun {
     log: RunLog,
@@ -62,27 +63,28 @@
 }
 
 impl RunLog {
-    /// The runs so far, in the order of their begin.
+    /// Returns the runs so far, in the order of their start.
     pub fn records(&self) -> Vec<RunRecord> {
         self.lock().records.clone()
     }
 
-    /// Requests that run now.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.lock().running
     }
 
-    /// Most requests that ever ran at once.
+    /// Returns the highest number of requests that have run at the same time.
     pub fn most_running(&self) -> u32 {
         self.lock().most_running
     }
 
-    /// Requests that were shed.
+    /// Returns the number of shed requests.
     pub fn shed(&self) -> u64 {
         self.lock().shed
     }
 
-    /// Notes the begin of a run, or sheds it where `slots` run already.
+    /// Logs the start of a run. Sheds the request and returns `None` if `slots` requests are
+    /// running.
     pub fn begin(&self, mut record: RunRecord, slots: u32) -> Option<OpenRun> {
         let mut state = self.lock();
         if state.running >= slots {
@@ -91,8 +93,8 @@
         }
         state.running += 1;
         state.most_running = state.most_running.max(state.running);
-        state.places += 1;
-        record.began = state.places;
+        state.last_sequence += 1;
+        record.began = state.last_sequence;
         state.records.push(record);
         Some(OpenRun {
             log: self.clone(),
@@ -107,7 +109,7 @@
 }
 
 impl OpenRun {
-    /// Ends the run.
+    /// Logs the end of the run.
     pub fn end(mut self, end: RunEnd) {
         self.end = end;
     }
@@ -117,8 +119,8 @@
     fn drop(&mut self) {
         let mut state = self.log.lock();
         state.running -= 1;
-        state.places += 1;
-        let place = state.places;
-        state.records[self.index].ended = Some((place, self.end));
+        state.last_sequence += 1;
+        let sequence = state.last_sequence;
+        state.records[self.index].ended = Some((sequence, self.end));
     }
 }
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a stand-in is started with.
+//! Settings of a stand-in.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,31 +6,31 @@
 
 use crate::behaviour;
 
-/// Lease where none is given.
+/// Default lease of announcements.
 const DEFAULT_LEASE: Duration = Duration::from_secs(3);
 const DEFAULT_SLOTS: u32 = 10;
 const DEFAULT_CONNECTIONS: u32 = 130;
 
-/// What a stand-in is started with; made by [`StandInSettings::builder`].
+/// Settings of a stand-in, created by [`StandInSettings::builder`].
 #[derive(Debug, Clone)]
 pub struct StandInSettings {
-    /// Its name.
+    /// Name of the target.
     pub name: ids::TargetName,
-    /// Its service.
+    /// Service of the target.
     pub service: ids::EntryName,
-    /// Address that it listens on.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Target listener of its node.
+    /// Target listener of the node.
     pub node: SocketAddr,
-    /// Requests that it says it runs at once.
+    /// Announced number of concurrent requests.
     pub slots: u32,
-    /// Connections that it says it takes.
+    /// Announced number of connections.
     pub connections: u32,
-    /// Lease of its announcements; it announces itself three times as often.
+    /// Lease of the announcements, which are renewed three times per lease.
     pub lease: Duration,
-    /// Version of its software that it tells.
+    /// Announced software version.
     pub version: Option<ids::SoftwareVersion>,
-    /// How it behaves at first.
+    /// Initial behaviour.
     pub behaviour: behaviour::StandInBehaviour,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl StandInSettings {
-    /// A builder of settings for a target of a service, which announces itself at `node`.
+    /// Returns a builder of settings for a target of a service that announces itself to `node`.
     pub fn builder(
         name: ids::TargetName,
         service: ids::EntryName,
@@ -63,50 +63,50 @@
 }
 
 impl StandInBuilder {
-    /// Sets the address that it listens on.
+    /// Sets the address to listen on.
     #[must_use]
     pub fn listen(mut self, listen: SocketAddr) -> Self {
         self.settings.listen = listen;
         self
     }
 
-    /// Sets the requests that it runs at once: those that it says and, unless the behaviour has a
-    /// number of its own, those beyond which it sheds.
+    /// Sets the announced number of concurrent requests. Also the number above which requests are
+    /// shed, unless the behaviour overrides it.
     #[must_use]
     pub fn slots(mut self, slots: u32) -> Self {
         self.settings.slots = slots;
         self
     }
 
-    /// Sets the connections that it says it takes.
+    /// Sets the announced number of connections.
     #[must_use]
     pub fn connections(mut self, connections: u32) -> Self {
         self.settings.connections = connections;
         self
     }
 
-    /// Sets the lease of its announcements.
+    /// Sets the lease of the announcements.
     #[must_use]
     pub fn lease(mut self, lease: Duration) -> Self {
         self.settings.lease = lease;
         self
     }
 
-    /// Sets the version of its software that it tells.
+    /// Sets the announced software version.
     #[must_use]
     pub fn version(mut self, version: Option<ids::SoftwareVersion>) -> Self {
         self.settings.version = version;
         self
     }
 
-    /// Sets how it behaves at first.
+    /// Sets the initial behaviour.
     #[must_use]
     pub fn behaviour(mut self, behaviour: behaviour::StandInBehaviour) -> Self {
         self.settings.behaviour = behaviour;
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn build(self) -> StandInSettings {
         self.settings
     }
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -1,4 +1,4 @@
-//! A stand-in target: its listener, its announcements and its crashes.
+//! A stand-in target: its listener, announcements and simulated crashes.
 
 use std::{
     convert::Infallible,
@@ -20,36 +20,37 @@
 
 use crate::{answer, behaviour, client, runs, settings};
 
-/// Exit code of a process whose script has a crash end it.
+/// Exit code of a process that ends itself in a scripted crash.
 const CRASH_EXIT_CODE: i32 = 70;
 const REBIND_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a stand-in says of itself.
+/// The state that a stand-in announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
     /// Starting.
     Warming,
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Finishes what runs.
+    /// Finishes running requests.
     Draining,
 }
 
-/// Whether a stand-in is up.
+/// Whether a stand-in is running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PowerState {
+enum LifecycleState {
     Up,
-    /// Gone, and back after this long.
+    /// Crashed; restarts after this time.
     Down(Duration),
-    /// Gone for good.
+    /// Stopped permanently.
     Stopped,
 }
 
-/// Power with the number of crashes, so that a connection notices a crash that is already over.
+/// State of a stand-in and the number of its crashes, by which a connection detects a crash even
+/// after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct PowerRecord {
-    state: PowerState,
+struct LifecycleRecord {
+    state: LifecycleState,
     crashes: u64,
 }
 
@@ -60,18 +61,18 @@
     started: Instant,
 }
 
-/// A stand-in that runs.
+/// A running stand-in.
 #[derive(Debug, Clone)]
 pub struct StandInTarget {
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
     settings: Arc<settings::StandInSettings>,
     log: runs::RunLog,
     shared: Arc<Mutex<SharedState>>,
-    power: watch::Sender<PowerRecord>,
+    lifecycle: watch::Sender<LifecycleRecord>,
 }
 
-/// What it tells its node.
+/// Body of an announcement to the node.
 #[derive(Debug, Serialize)]
 struct Announcement<'a> {
     service: &'a str,
@@ -86,7 +87,7 @@
 }
 
 impl StandInTarget {
-    /// Starts a stand-in, which announces itself until it is stopped or the runtime ends.
+    /// Starts a stand-in, which renews its announcement until it is stopped or the runtime ends.
     pub async fn start(settings: settings::StandInSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(settings.listen).await?;
         let shared = SharedState {
@@ -99,84 +100,85 @@
             settings: Arc::new(settings),
             log: runs::RunLog::default(),
             shared: Arc::new(Mutex::new(shared)),
-            power: watch::Sender::new(PowerRecord {
-                state: PowerState::Up,
+            lifecycle: watch::Sender::new(LifecycleRecord {
+                state: LifecycleState::Up,
                 crashes: 0,
             }),
         };
-        tokio::spawn(target.clone().live(listener));
-        tokio::spawn(target.clone().announce_again());
+        tokio::spawn(target.clone().run(listener));
+        tokio::spawn(target.clone().renew_announcements());
         Ok(target)
     }
 
-    /// What it was started with.
+    /// Returns the settings.
     pub fn settings(&self) -> &settings::StandInSettings {
         &self.settings
     }
 
-    /// The log of its runs.
+    /// Returns the run log.
     pub fn log(&self) -> &runs::RunLog {
         &self.log
     }
 
-    /// The runs so far.
+    /// Returns the runs so far.
     pub fn runs(&self) -> Vec<runs::RunRecord> {
         self.log.records()
     }
 
-    /// How it behaves now.
+    /// Returns the current behaviour.
     pub fn behaviour(&self) -> behaviour::StandInBehaviour {
         self.lock().behaviour.clone()
     }
 
-    /// Changes how it behaves from now on.
+    /// Replaces the behaviour.
     pub fn behave(&self, behaviour: behaviour::StandInBehaviour) {
         self.lock().behaviour = behaviour;
     }
 
-    /// Time since it started or came back from its last crash.
+    /// Returns the time since the start or the last restart.
     pub fn since_start(&self) -> Duration {
         self.lock().started.elapsed()
     }
 
-    /// Says from now on that it drains.
+    /// Announces itself as draining from now on.
     pub async fn drain(&self) {
         self.say(TargetState::Draining).await;
     }
 
-    /// Says something else of itself from now on.
+    /// Announces itself with another state from now on.
     pub async fn say(&self, state: TargetState) {
         self.lock().state = state;
         self.announce().await;
     }
 
-    /// Withdraws itself at its node and announces itself no more; its listener stays.
+    /// Withdraws itself from its node. The listener stays open, and later announcements have the
+    /// state draining.
     pub async fn leave(&self) {
         let path = format!("/v1/announce/{}", self.settings.name);
         self.lock().state = TargetState::Draining;
-        self.tell_node(Request::delete(path).body(Full::default()))
+        self.send_to_node(Request::delete(path).body(Full::default()))
             .await;
     }
 
-    /// Closes every connection and the listener, and comes back after a pause.
+    /// Simulates a crash: closes the listener and all connections, and restarts after `pause`.
     pub fn crash(&self, pause: Duration) {
-        self.fall(PowerState::Down(pause));
+        self.take_down(LifecycleState::Down(pause));
     }
 
-    /// Closes every connection and the listener for good, and is silent towards its node.
+    /// Closes the listener and all connections permanently and stops announcing itself.
     pub fn stop(&self) {
-        self.fall(PowerState::Stopped);
+        self.take_down(LifecycleState::Stopped);
     }
 
-    fn fall(&self, state: PowerState) {
-        self.power.send_modify(|power| {
-            power.state = state;
-            power.crashes += 1;
+    fn take_down(&self, state: LifecycleState) {
+        self.lifecycle.send_modify(|lifecycle| {
+            lifecycle.state = state;
+            lifecycle.crashes += 1;
         });
     }
 
-    /// Crashes as a script says.
-    pub(crate) fn crash_by(&self, behaviour: &behaviour::StandInBehaviour) {
+    /// Crashes as scripted.
+    pub(crate) fn crash_as_scripted(&self, behaviour: &behaviour::StandInBehaviour) {
         match behaviour.crash_pause_ms {
             Some(pause) => self.crash(Duration::from_millis(pause)),
             None => std::process::exit(CRASH_EXIT_CODE),
@@ -187,9 +189,9 @@
         self.shared.lock().expect("no holder of the lock panics")
     }
 
-    /// Serves, is gone after a crash, comes back, until it is stopped.
-    async fn live(self, listener: TcpListener) {
-        let mut power = self.power.subscribe();
+    /// Serves connections and restarts after crashes until it is stopped.
+    async fn run(self, listener: TcpListener) {
+        let mut lifecycle = self.lifecycle.subscribe();
         let mut listener = Some(listener);
         loop {
             let bound = match listener.take() {
@@ -198,19 +200,19 @@
             };
             tokio::select! {
                 () = self.serve(bound) => {}
-                _ = power.wait_for(|power| power.state != PowerState::Up) => {}
+                _ = lifecycle.wait_for(|lifecycle| lifecycle.state != LifecycleState::Up) => {}
             }
-            let state = power.borrow_and_update().state;
+            let state = lifecycle.borrow_and_update().state;
             match state {
-                PowerState::Down(pause) => time::sleep(pause).await,
-                PowerState::Stopped => return,
-                PowerState::Up => {}
+                LifecycleState::Down(pause) => time::sleep(pause).await,
+                LifecycleState::Stopped => return,
+                LifecycleState::Up => {}
             }
             self.lock().started = Instant::now();
-            self.power.send_if_modified(|power| {
-                let is_down = power.state == state;
+            self.lifecycle.send_if_modified(|lifecycle| {
+                let is_down = lifecycle.state == state;
                 if is_down {
-                    power.state = PowerState::Up;
+                    lifecycle.state = LifecycleState::Up;
                 }
                 is_down
             });
@@ -221,7 +223,10 @@
         loop {
             match TcpListener::bind(self.address).await {
                 Ok(listener) => return listener,
-                Err(error) => log::debug!("{} binds again: {error}", self.settings.name),
+                Err(error) => log::debug!(
+                    "{}: cannot bind its listener again, retrying: {error}",
+                    self.settings.name
+                ),
             }
             time::sleep(REBIND_PAUSE).await;
         }
@@ -235,32 +240,32 @@
 
     async fn serve_connection(self, stream: TcpStream) {
         drop(stream.set_nodelay(true));
-        let mut power = self.power.subscribe();
-        let crashes = power.borrow_and_update().crashes;
+        let mut lifecycle = self.lifecycle.subscribe();
+        let crashes = lifecycle.borrow_and_update().crashes;
         let service = service::service_fn(move |request| {
             let target = self.clone();
-            async move { Ok::<_, Infallible>(answer::answer(&target, request).await) }
+            async move { Ok::<_, Infallible>(answer::respond(&target, request).await) }
         });
         let served = http1::Builder::new().serve_connection(rt::TokioIo::new(stream), service);
         tokio::select! {
             ended = served => {
                 if let Err(error) = ended {
-                    log::debug!("stand-in's connection ended: {error}");
+                    log::debug!("connection of stand-in failed: {error}");
                 }
             }
-            _ = power.wait_for(|power| power.crashes != crashes) => {}
+            _ = lifecycle.wait_for(|lifecycle| lifecycle.crashes != crashes) => {}
         }
     }
 
-    async fn announce_again(self) {
+    async fn renew_announcements(self) {
         let mut timer = time::interval(self.settings.lease / 3);
         loop {
             timer.tick().await;
-            let power = self.power.borrow().state;
-            match power {
-                PowerState::Up => self.announce().await,
-                PowerState::Down(_) => {}
-                PowerState::Stopped => return,
+            let lifecycle = self.lifecycle.borrow().state;
+            match lifecycle {
+                LifecycleState::Up => self.announce().await,
+                LifecycleState::Down(_) => {}
+                LifecycleState::Stopped => return,
             }
         }
     }
@@ -280,15 +285,15 @@
                 .as_ref()
                 .map(ids::SoftwareVersion::as_str),
         };
-        let text = serde_json::to_vec(&announcement).expect("it has only text keys");
-        self.tell_node(Request::post("/v1/announce").body(Full::new(text.into())))
+        let text = serde_json::to_vec(&announcement).expect("an announcement has only text keys");
+        self.send_to_node(Request::post("/v1/announce").body(Full::new(text.into())))
             .await;
     }
 
-    async fn tell_node(&self, request: hyper::http::Result<Request<Full<bytes::Bytes>>>) {
+    async fn send_to_node(&self, request: hyper::http::Result<Request<Full<bytes::Bytes>>>) {
         let request = request.expect("the path is a URI");
         if let Err(error) = client::exchange(self.settings.node, request).await {
-            log::warn!("{} did not reach its node: {error}", self.settings.name);
+            log::warn!("{}: cannot reach its node: {error}", self.settings.name);
         }
     }
 }
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -1,4 +1,5 @@
-//! The load generator against a stand-in in the place of a node, and its verdict over given logs.
+//! The load generator with a stand-in in place of a node, and the check of outcomes against given
+//! logs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,25 +10,25 @@
 };
 
 const MIX: &str = r#"{"kinds": [
-    // A lookup may be repeated, an issuance may not.
+    // Lookups are idempotent, issuances are not.
     {"name": "lookup", "class": "counter", "path": "/vehicles/{n}", "weight": 3},
     {"name": "issue", "class": "office", "method": "POST", "path": "/certificates/{n}",
      "keyed": true, "body_bytes": 10, "value": 5},
 ]}"#;
 
 fn mix() -> mix::LoadMix {
-    mix::LoadMix::parse(MIX).expect("it is a mix")
+    mix::LoadMix::parse(MIX).expect("the mix is valid")
 }
 
-async fn loaded(answer: behaviour::AnswerForm) -> load::report::LoadReport {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-    let name = "registru-1".parse().expect("it is a name");
-    let service = "registru".parse().expect("it is a name");
+async fn run_load(answer: behaviour::AnswerForm) -> load::report::LoadReport {
+    let unused = SocketAddr::from(([127, 0, 0, 1], 9));
+    let name = "registru-1".parse().expect("valid name");
+    let service = "registru".parse().expect("valid name");
     let behaviour = behaviour::StandInBehaviour {
         answer,
         ..behaviour::StandInBehaviour::default()
     };
-    let settings = standin_settings::StandInSettings::builder(name, service, nobody)
+    let settings = standin_settings::StandInSettings::builder(name, service, unused)
         .slots(1000)
         .behaviour(behaviour);
     let target = target::StandInTarget::start(settings.build()).await;
@@ -43,29 +44,32 @@
 
 #[tokio::test]
 async fn clean_load() {
-    let report = loaded(behaviour::AnswerForm::Whole).await;
+    let report = run_load(behaviour::AnswerForm::Whole).await;
     assert!(report.verdict.is_clean(), "{report}");
     assert_eq!(report.answered, report.sent);
     assert_eq!(report.verdict.runs, report.sent);
     let (counter, office) = (&report.classes["counter"], &report.classes["office"]);
-    assert!(counter.sent > office.sent, "weights decide: {report}");
+    assert!(
+        counter.sent > office.sent,
+        "kinds are chosen by weight: {report}"
+    );
     assert!((office.goodput - office.answered as f64 * 10.0).abs() < 1e-6);
     let folder = tempfile::tempdir().expect("a temporary folder can be made");
     let file = folder.path().join("load.svg");
     report.series.write(&file).expect("the folder is writable");
-    let plot = std::fs::read_to_string(file).expect("it was written");
+    let plot = std::fs::read_to_string(file).expect("the plot was written");
     assert!(plot.contains("counter") && plot.contains("office"));
 }
 
 #[tokio::test]
-async fn cut_load() {
-    let report = loaded(behaviour::AnswerForm::InPart).await;
+async fn truncated_load() {
+    let report = run_load(behaviour::AnswerForm::InPart).await;
     assert_eq!((report.answered, report.verdict.cut), (0, report.sent));
     assert_eq!(report.unanswered["cut"], report.sent);
 }
 
 #[test]
-fn same_seed() {
+fn weighted_choice() {
     let chosen: Vec<usize> = (0..8).map(|random| mix().choose(random)).collect();
     assert_eq!(chosen, [0, 0, 0, 1, 0, 0, 0, 1]);
     mix::LoadMix::parse(r#"{"kinds": []}"#).expect_err("no kind has a weight");
@@ -73,9 +77,9 @@
 
 #[test]
 fn verdict_table() {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-    let settings = settings::LoadSettings::builder(vec![nobody], mix())
-        .stand_ins(vec![nobody])
+    let unused = SocketAddr::from(([127, 0, 0, 1], 9));
+    let settings = settings::LoadSettings::builder(vec![unused], mix())
+        .stand_ins(vec![unused])
         .build();
     let refused = call::SendEnd::Refused {
         code: "HZ3003".into(),
@@ -140,22 +144,22 @@
         };
         let run = |number| runs::RunRecord {
             method: "GET".into(),
-            path: format!("/x?{}", call::call_mark("load", number)),
+            path: format!("/x?{}", call::call_tag("load", number)),
             key: None,
             body_bytes: 0,
             began: 1,
             ended: None,
         };
-        // The run of a number that the wanted one begins must not be taken for its own.
+        // The run of request 1 must not be counted for request 12, whose number starts with 1.
         let mut runs = vec![run(1)];
         runs.extend((0..run_count).map(|_| run(12)));
-        let logs = verdict::ReadLogs {
+        let logs = verdict::RunLogs {
             runs,
             unread: Vec::new(),
         };
-        let mut judged = verdict::judge(&settings, "load", &[record], &logs);
-        judged.named.clear();
-        judged.runs = 0;
-        assert_eq!(judged, expected, "{end:?} with {run_count} runs");
+        let mut checked = verdict::check(&settings, "load", &[record], &logs);
+        checked.named.clear();
+        checked.runs = 0;
+        assert_eq!(checked, expected, "{end:?} with {run_count} runs");
     }
 }
--- a/crates/standin/tests/target.rs
+++ b/crates/standin/tests/target.rs
@@ -1,4 +1,4 @@
-//! What a stand-in does as its script says, asked without a node.
+//! Scripted behaviour of stand-ins, which are called directly, without a node.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,11 +8,11 @@
 use hyper::{Request, Response};
 use tokio::time;
 
-async fn started(behaviour: behaviour::StandInBehaviour) -> target::StandInTarget {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-    let name = "registru-1".parse().expect("it is a name");
-    let service = "registru".parse().expect("it is a name");
-    let settings = settings::StandInSettings::builder(name, service, nobody)
+async fn start(behaviour: behaviour::StandInBehaviour) -> target::StandInTarget {
+    let unused = SocketAddr::from(([127, 0, 0, 1], 9));
+    let name = "registru-1".parse().expect("valid name");
+    let service = "registru".parse().expect("valid name");
+    let settings = settings::StandInSettings::builder(name, service, unused)
         .slots(2)
         .behaviour(behaviour);
     target::StandInTarget::start(settings.build())
@@ -20,7 +20,7 @@
         .expect("loopback has a free port")
 }
 
-async fn ask(
+async fn get(
     to: SocketAddr,
     path: &str,
 ) -> Result<Response<Bytes>, hazeltiller_standin::client::ExchangeError> {
@@ -30,12 +30,12 @@
 }
 
 async fn status(target: &target::StandInTarget, path: &str) -> Option<u16> {
-    let response = ask(target.address, path).await.ok()?;
+    let response = get(target.address, path).await.ok()?;
     Some(response.status().as_u16())
 }
 
 #[tokio::test]
-async fn scripted_answers() {
+async fn scripted_responses() {
     let (form, health) = (
         |answer| behaviour::StandInBehaviour {
             answer,
@@ -47,7 +47,7 @@
             ..behaviour
         },
     );
-    let lying = health(
+    let misreporting = health(
         form(behaviour::AnswerForm::Failing),
         behaviour::HealthForm::AlwaysWell,
     );
@@ -55,10 +55,10 @@
         (form(behaviour::AnswerForm::Whole), Some(200), Some(200)),
         (form(behaviour::AnswerForm::Failing), Some(500), Some(503)),
         (form(behaviour::AnswerForm::InPart), None, Some(503)),
-        (lying, Some(500), Some(200)),
+        (misreporting, Some(500), Some(200)),
     ];
     for (behaviour, answered, health) in table {
-        let target = started(behaviour.clone()).await;
+        let target = start(behaviour.clone()).await;
         assert_eq!(
             status(&target, "/vehicles/1").await,
             answered,
@@ -66,21 +66,25 @@
         );
         assert_eq!(status(&target, "/health").await, health, "{behaviour:?}");
         let runs = target.runs();
-        assert_eq!(runs.len(), 1, "pages are no runs");
+        assert_eq!(
+            runs.len(),
+            1,
+            "requests to the endpoints of the stand-in are not runs"
+        );
         assert_eq!(runs[0].key.as_deref(), Some("k1"));
     }
 }
 
 #[tokio::test]
-async fn slots_shed() {
-    let target = started(behaviour::StandInBehaviour {
+async fn excess_shed() {
+    let target = start(behaviour::StandInBehaviour {
         answer: behaviour::AnswerForm::Never,
         ..behaviour::StandInBehaviour::default()
     })
     .await;
     let address = target.address;
     for path in ["/a", "/b"] {
-        tokio::spawn(async move { ask(address, path).await.map(drop) });
+        tokio::spawn(async move { get(address, path).await.map(drop) });
     }
     while target.log().running() < 2 {
         time::sleep(Duration::from_millis(1)).await;
@@ -90,13 +94,13 @@
 }
 
 #[tokio::test]
-async fn marked_crash() {
-    let target = started(behaviour::StandInBehaviour {
+async fn scripted_crash() {
+    let target = start(behaviour::StandInBehaviour {
         crash_pause_ms: Some(100),
         ..behaviour::StandInBehaviour::default()
     })
     .await;
-    let path = format!("/vehicles/{}", behaviour::CRASH_MARK);
+    let path = format!("/vehicles/{}", behaviour::CRASH_MARKER);
     assert_eq!(status(&target, &path).await, None);
     while status(&target, "/vehicles/2").await != Some(200) {
         time::sleep(Duration::from_millis(10)).await;
@@ -112,8 +116,8 @@
 
 #[tokio::test]
 async fn chain_forwards() {
-    let last = started(behaviour::StandInBehaviour::default()).await;
-    let first = started(behaviour::StandInBehaviour {
+    let last = start(behaviour::StandInBehaviour::default()).await;
+    let first = start(behaviour::StandInBehaviour {
         next: Some(behaviour::NextService {
             callers: last.address,
             path: Some("/deeper".into()),
@@ -121,8 +125,14 @@
         ..behaviour::StandInBehaviour::default()
     })
     .await;
-    let answer = ask(first.address, "/shallow").await.expect("both run");
+    let answer = get(first.address, "/shallow")
+        .await
+        .expect("both targets respond");
     let text = "registru-1 ran GET /shallow\nregistru-1 ran GET /deeper\n";
     assert_eq!(answer.body(), text);
-    assert_eq!(last.runs()[0].key.as_deref(), Some("k1"), "the key goes on");
+    assert_eq!(
+        last.runs()[0].key.as_deref(),
+        Some("k1"),
+        "the idempotency key is forwarded"
+    );
 }
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -100,7 +100,7 @@
             eprintln!(
                 "{:>6.1} s: {} started, {} answered, {} not answered",
                 progress.elapsed.as_secs_f64(),
-                progress.begun,
+                progress.started,
                 progress.answered,
                 progress.not_answered
             );
@@ -119,7 +119,7 @@
                 mix::LoadMix::parse(&text).map_err(|error| invalid(error.to_string()))?
             }
         };
-        match mix.kinds().iter().find(|kind| !call::is_possible(kind)) {
+        match mix.kinds().iter().find(|kind| !call::is_valid(kind)) {
             None => Ok(mix),
             Some(kind) => Err(usage_error(format!(
                 "kind {}: invalid method, path or host",
