--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -76,7 +76,7 @@
         .unwrap_or_default();
     match serde_json::from_slice(&bytes) {
         Ok(behaviour) => {
-            target.behave(behaviour);
+            target.set_behaviour(behaviour);
             text_response(StatusCode::OK, "")
         }
         Err(error) => text_response(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string()),
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -131,7 +131,7 @@
     }
 
     /// Replaces the behaviour.
-    pub fn behave(&self, behaviour: behaviour::StandInBehaviour) {
+    pub fn set_behaviour(&self, behaviour: behaviour::StandInBehaviour) {
         self.lock().behaviour = behaviour;
     }
 
@@ -142,18 +142,18 @@
 
     /// Announces itself as draining from now on.
     pub async fn drain(&self) {
-        self.say(TargetState::Draining).await;
+        self.announce_state(TargetState::Draining).await;
     }
 
     /// Announces itself with another state from now on.
-    pub async fn say(&self, state: TargetState) {
+    pub async fn announce_state(&self, state: TargetState) {
         self.lock().state = state;
         self.announce().await;
     }
 
     /// Withdraws itself from its node. The listener stays open, and later announcements have the
     /// state draining.
-    pub async fn leave(&self) {
+    pub async fn withdraw(&self) {
         let path = format!("/v1/announce/{}", self.settings.name);
         self.lock().state = TargetState::Draining;
         self.send_to_node(Request::delete(path).body(Full::default()))
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -264,7 +264,7 @@
         let runs = target.runs().len();
         time::sleep(Duration::from_millis(200)).await;
         assert_eq!(target.runs().len(), runs, "round {round}: no new work");
-        target.say(target::TargetState::Ready).await;
+        target.announce_state(target::TargetState::Ready).await;
         wait::until("work for a target that is back", || async {
             (target.runs().len() > runs).then_some(())
         })
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -192,7 +192,7 @@
     }
     // Five until it is known, and single trials further and further apart.
     assert!(failed <= 15, "its health page says good: {failed}");
-    lying.behave(slow(0));
+    lying.set_behaviour(slow(0));
     let before = lying.runs().len();
     wait::until("the mended target takes calls", || async {
         let response = get(&fleet, "/heavy/1").await?;
@@ -235,7 +235,7 @@
     // The deepest service sheds everything: the one answer that may be tried again.
     let deepest = &targets[2 * (CHAIN - 1)..];
     for target in deepest {
-        target.behave(behaviour::StandInBehaviour {
+        target.set_behaviour(behaviour::StandInBehaviour {
             real_slots: Some(0),
             ..slow(0)
         });
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -424,7 +424,7 @@
     let first = scene.send("node-1", "moved").await;
     scene.add_target("second").await;
     scene.targets[0].drain().await;
-    scene.targets[0].leave().await;
+    scene.targets[0].withdraw().await;
     for node in NODES {
         assert_eq!(scene.send(node, "moved").await, first, "through {node}");
     }
--- a/tests/all/seeing.rs
+++ b/tests/all/seeing.rs
@@ -210,7 +210,7 @@
 async fn slots_accounted() {
     let mut fleet = started_fleet().await;
     let target = support::stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
-    target.behave(behaviour::StandInBehaviour {
+    target.set_behaviour(behaviour::StandInBehaviour {
         answer: behaviour::AnswerForm::Failing,
         ..behaviour::StandInBehaviour::default()
     });
