--- a/crates/standin/tests/target.rs
+++ b/crates/standin/tests/target.rs
@@ -125,11 +125,11 @@
         ..behaviour::StandInBehaviour::default()
     })
     .await;
-    let answer = get(first.address, "/shallow")
+    let response = get(first.address, "/shallow")
         .await
         .expect("both targets respond");
     let text = "registru-1 ran GET /shallow\nregistru-1 ran GET /deeper\n";
-    assert_eq!(answer.body(), text);
+    assert_eq!(response.body(), text);
     assert_eq!(
         last.runs()[0].key.as_deref(),
         Some("k1"),
--- a/src/changes.rs
+++ b/src/changes.rs
@@ -118,8 +118,8 @@
     }
     let receipt: change::ChangeReceipt = session::parse_response(response.body())?;
     match session.output {
-        session::OutputForm::Json => println!("{}", String::from_utf8_lossy(response.body())),
-        session::OutputForm::Text => {
+        session::OutputFormat::Json => println!("{}", String::from_utf8_lossy(response.body())),
+        session::OutputFormat::Text => {
             println!(
                 "accepted: version {} (change id {})",
                 receipt.version, receipt.change_id
@@ -129,7 +129,7 @@
     if options.wait {
         return wait_for_convergence(session, receipt.version).await;
     }
-    if session.output == session::OutputForm::Text {
+    if session.output == session::OutputFormat::Text {
         println!(
             "to follow its convergence, run: hazeltiller convergence {}",
             receipt.version
--- a/src/commands/control.rs
+++ b/src/commands/control.rs
@@ -62,7 +62,7 @@
 
 async fn list(session: &session::SessionOptions) -> Result<(), session::CommandError> {
     let document = session.fetch("/v1/control").await?;
-    if session.output == session::OutputForm::Json {
+    if session.output == session::OutputFormat::Json {
         println!("{document}");
         return Ok(());
     }
@@ -87,8 +87,8 @@
     }
     let document: Value = session::parse_response(response.body())?;
     match session.output {
-        session::OutputForm::Json => println!("{document}"),
-        session::OutputForm::Text => {
+        session::OutputFormat::Json => println!("{document}"),
+        session::OutputFormat::Text => {
             println!("voters changed; the voters are now:");
             print_members(&document["voters"]);
         }
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -19,8 +19,8 @@
     /// Keep the fleet running afterwards, and print its addresses and commands to try
     stay: bool,
     /// Output format: text or json
-    #[bpaf(argument("FORM"), fallback(session::OutputForm::Text))]
-    output: session::OutputForm,
+    #[bpaf(argument("FORM"), fallback(session::OutputFormat::Text))]
+    output: session::OutputFormat,
 }
 
 /// Time under load before, between and after the events of the demo.
@@ -42,8 +42,8 @@
         let fleet = fleet::DemoFleet::start().await.map_err(failed)?;
         let report = self.run_scenario(&fleet).await.map_err(failed)?;
         match self.output {
-            session::OutputForm::Text => print!("{report}"),
-            session::OutputForm::Json => {
+            session::OutputFormat::Text => print!("{report}"),
+            session::OutputFormat::Json => {
                 println!(
                     "{}",
                     serde_json::to_string(&report).expect("the report has only text keys")
@@ -96,7 +96,7 @@
     }
 
     fn print_progress(&self, line: &str) {
-        if self.output == session::OutputForm::Text {
+        if self.output == session::OutputFormat::Text {
             println!("{line}");
         }
     }
--- a/src/commands/diff.rs
+++ b/src/commands/diff.rs
@@ -89,7 +89,7 @@
     }
 
     fn print(&self, differences: &[EntryDifference]) {
-        if self.session.output == session::OutputForm::Json {
+        if self.session.output == session::OutputFormat::Json {
             let text = serde_json::to_string(differences).expect("entries have only text keys");
             return println!("{text}");
         }
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -19,8 +19,8 @@
 #[bpaf(ignore_rustdoc)]
 pub struct ExplainCommand {
     /// Output format: text or json
-    #[bpaf(argument("FORM"), fallback(session::OutputForm::Text))]
-    output: session::OutputForm,
+    #[bpaf(argument("FORM"), fallback(session::OutputFormat::Text))]
+    output: session::OutputFormat,
     /// Id of the request
     #[bpaf(positional("ID"))]
     request: ids::RequestId,
@@ -66,11 +66,11 @@
             steps,
         };
         match self.output {
-            session::OutputForm::Json => {
+            session::OutputFormat::Json => {
                 let text = serde_json::to_string(&trace).expect("a trace has only text keys");
                 println!("{text}");
             }
-            session::OutputForm::Text => print_trace(&trace),
+            session::OutputFormat::Text => print_trace(&trace),
         }
         Ok(())
     }
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -43,8 +43,8 @@
     #[bpaf(argument("FILE"))]
     plot: Option<PathBuf>,
     /// Output format: text or json
-    #[bpaf(argument("FORM"), fallback(session::OutputForm::Text))]
-    output: session::OutputForm,
+    #[bpaf(argument("FORM"), fallback(session::OutputFormat::Text))]
+    output: session::OutputFormat,
     /// Print no progress
     quiet: bool,
 }
@@ -58,8 +58,8 @@
             Err(error) => return session::finish(Err(error)),
         };
         match self.output {
-            session::OutputForm::Text => print!("{report}"),
-            session::OutputForm::Json => {
+            session::OutputFormat::Text => print!("{report}"),
+            session::OutputFormat::Json => {
                 let text = serde_json::to_string(&report).expect("a report has only text keys");
                 println!("{text}");
             }
--- a/src/commands/read.rs
+++ b/src/commands/read.rs
@@ -86,7 +86,7 @@
         {
             entries.retain(|entry| entry["kind"] == kind.word());
         }
-        if self.session.output == session::OutputForm::Json {
+        if self.session.output == session::OutputFormat::Json {
             println!("{document}");
             return Ok(());
         }
@@ -106,7 +106,7 @@
     }
 
     async fn print(self) -> Result<(), session::CommandError> {
-        if self.session.output == session::OutputForm::Json {
+        if self.session.output == session::OutputFormat::Json {
             return print(&self.session, &format!("/v1/convergence/{}", self.version)).await;
         }
         let document = changes::fetch_convergence(&self.session, self.version).await?;
@@ -130,8 +130,8 @@
 async fn print(session: &session::SessionOptions, path: &str) -> Result<(), session::CommandError> {
     let document = session.fetch(path).await?;
     match session.output {
-        session::OutputForm::Json => println!("{document}"),
-        session::OutputForm::Text => println!("{document:#}"),
+        session::OutputFormat::Json => println!("{document}"),
+        session::OutputFormat::Text => println!("{document:#}"),
     }
     Ok(())
 }
@@ -143,7 +143,7 @@
     columns: &[&str],
 ) -> Result<(), session::CommandError> {
     let document = session.fetch(path).await?;
-    if session.output == session::OutputForm::Json {
+    if session.output == session::OutputFormat::Json {
         println!("{document}");
         return Ok(());
     }
--- a/src/commands/rollout.rs
+++ b/src/commands/rollout.rs
@@ -1,4 +1,4 @@
-//! `hazeltiller rollout`: starts, shows, watches and aborts roll-outs of services.
+//! `hazeltiller rollout`: starts, shows, watches and aborts rollouts of services.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -10,11 +10,11 @@
 use super::read;
 use crate::{changes, session};
 
-/// Columns printed for each roll-out.
+/// Columns printed for each rollout.
 const ROLLOUT_COLUMNS: [&str; 5] = ["service", "to", "phase", "share_permille", "reason"];
-/// Columns printed for each version of a roll-out.
+/// Columns printed for each version of a rollout.
 const VERSION_COLUMNS: [&str; 3] = ["version", "answered", "failed"];
-/// Time between two polls of a roll-out.
+/// Time between two polls of a rollout.
 const WATCH_PERIOD: Duration = Duration::from_millis(300);
 
 /// A duration such as `12s`, `1500ms` or `10m`, in milliseconds.
@@ -145,7 +145,7 @@
 
 async fn list(session: &session::SessionOptions) -> Result<(), session::CommandError> {
     let document = session.fetch("/v1/rollouts").await?;
-    if session.output == session::OutputForm::Json {
+    if session.output == session::OutputFormat::Json {
         println!("{document}");
         return Ok(());
     }
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-/// Reads the latest roll-out of a service. The leader is asked if it is reachable, since it has the
+/// Reads the latest rollout of a service. The leader is asked if it is reachable, since it has the
 /// counts of runs.
 async fn fetch(
     session: &session::SessionOptions,
@@ -180,7 +180,7 @@
 }
 
 fn print(session: &session::SessionOptions, document: &Value) {
-    if session.output == session::OutputForm::Json {
+    if session.output == session::OutputFormat::Json {
         return println!("{document}");
     }
     println!(
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -198,7 +198,7 @@
 
     fn print(&self, events: Vec<MergedEvent>) -> std::io::Result<()> {
         let mut output = std::io::stdout().lock();
-        if self.session.output == session::OutputForm::Json {
+        if self.session.output == session::OutputFormat::Json {
             for event in events {
                 let text = serde_json::to_string(&event).expect("an event has only text keys");
                 writeln!(output, "{text}")?;
--- a/src/session.rs
+++ b/src/session.rs
@@ -12,14 +12,14 @@
 
 /// Output format of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OutputForm {
+pub enum OutputFormat {
     /// Human-readable text.
     Text,
     /// JSON, for scripts.
     Json,
 }
 
-impl std::str::FromStr for OutputForm {
+impl std::str::FromStr for OutputFormat {
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -44,8 +44,8 @@
     #[bpaf(argument("FILE"))]
     pub token_file: Option<PathBuf>,
     /// Output format: text or json
-    #[bpaf(argument("FORM"), fallback(OutputForm::Text))]
-    pub output: OutputForm,
+    #[bpaf(argument("FORM"), fallback(OutputFormat::Text))]
+    pub output: OutputFormat,
 }
 
 /// Why a command failed, with its exit code.
