--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -129,10 +129,10 @@
         text.push_str(&next_text);
     }
     match behaviour.answer {
-        behaviour::AnswerForm::Whole => {}
-        behaviour::AnswerForm::Failing => status = StatusCode::INTERNAL_SERVER_ERROR,
-        behaviour::AnswerForm::Never => return std::future::pending().await,
-        behaviour::AnswerForm::InPart => return stream_response(status, text, &behaviour, run),
+        behaviour::ResponseMode::Whole => {}
+        behaviour::ResponseMode::Failing => status = StatusCode::INTERNAL_SERVER_ERROR,
+        behaviour::ResponseMode::Never => return std::future::pending().await,
+        behaviour::ResponseMode::InPart => return stream_response(status, text, &behaviour, run),
     }
     if behaviour.pieces > 1 {
         return stream_response(status, text, &behaviour, run);
@@ -228,7 +228,7 @@
     run: runs::OpenRun,
 ) -> Response<ResponseBody> {
     let bytes = Bytes::from(pad(text, behaviour.answer_bytes));
-    let is_truncated = behaviour.answer == behaviour::AnswerForm::InPart;
+    let is_truncated = behaviour.answer == behaviour::ResponseMode::InPart;
     let count = (behaviour.pieces as usize).max(2);
     let size = bytes.len().div_ceil(count).max(1);
     let mut pieces: Vec<Bytes> = (0..bytes.len())
--- a/crates/standin/src/behaviour.rs
+++ b/crates/standin/src/behaviour.rs
@@ -15,7 +15,7 @@
 /// How a stand-in responds to requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AnswerForm {
+pub enum ResponseMode {
     /// With a complete response.
     #[default]
     Whole,
@@ -30,7 +30,7 @@
 /// What the health endpoint reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HealthForm {
+pub enum HealthMode {
     /// Status 200 if requests get complete responses, else 503.
     #[default]
     Truth,
@@ -65,7 +65,7 @@
     /// Latency of the responses after a start, in milliseconds.
     pub cold_latency_ms: u64,
     /// How requests are responded to.
-    pub answer: AnswerForm,
+    pub answer: ResponseMode,
     /// Minimum size of a response body, in bytes.
     pub answer_bytes: usize,
     /// Number of pieces in which a response body is sent.
@@ -76,7 +76,7 @@
     /// exits.
     pub crash_pause_ms: Option<u64>,
     /// What the health endpoint reports.
-    pub health: HealthForm,
+    pub health: HealthMode,
     /// Number of requests in flight that the load endpoint reports. Defaults to the actual number.
     pub told_in_flight: Option<u32>,
     /// Service that requests are forwarded to, if any.
@@ -90,12 +90,12 @@
             real_slots: None,
             cold_start_ms: 0,
             cold_latency_ms: 0,
-            answer: AnswerForm::Whole,
+            answer: ResponseMode::Whole,
             answer_bytes: 0,
             pieces: 1,
             piece_pause_ms: 0,
             crash_pause_ms: Some(500),
-            health: HealthForm::Truth,
+            health: HealthMode::Truth,
             told_in_flight: None,
             next: None,
         }
@@ -116,9 +116,9 @@
     /// Whether the health endpoint reports the target as healthy.
     pub fn reports_healthy(&self) -> bool {
         match self.health {
-            HealthForm::Truth => self.answer == AnswerForm::Whole,
-            HealthForm::AlwaysWell => true,
-            HealthForm::AlwaysIll => false,
+            HealthMode::Truth => self.answer == ResponseMode::Whole,
+            HealthMode::AlwaysWell => true,
+            HealthMode::AlwaysIll => false,
         }
     }
 }
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -20,7 +20,7 @@
     mix::LoadMix::parse(MIX).expect("the mix is valid")
 }
 
-async fn run_load(answer: behaviour::AnswerForm) -> load::report::LoadReport {
+async fn run_load(answer: behaviour::ResponseMode) -> load::report::LoadReport {
     let unused = SocketAddr::from(([127, 0, 0, 1], 9));
     let name = "registru-1".parse().expect("valid name");
     let service = "registru".parse().expect("valid name");
@@ -44,7 +44,7 @@
 
 #[tokio::test]
 async fn clean_load() {
-    let report = run_load(behaviour::AnswerForm::Whole).await;
+    let report = run_load(behaviour::ResponseMode::Whole).await;
     assert!(report.verdict.is_clean(), "{report}");
     assert_eq!(report.answered, report.sent);
     assert_eq!(report.verdict.runs, report.sent);
@@ -63,7 +63,7 @@
 
 #[tokio::test]
 async fn truncated_load() {
-    let report = run_load(behaviour::AnswerForm::InPart).await;
+    let report = run_load(behaviour::ResponseMode::InPart).await;
     assert_eq!((report.answered, report.verdict.cut), (0, report.sent));
     assert_eq!(report.unanswered["cut"], report.sent);
 }
--- a/crates/standin/tests/target.rs
+++ b/crates/standin/tests/target.rs
@@ -48,13 +48,13 @@
         },
     );
     let misreporting = health(
-        form(behaviour::AnswerForm::Failing),
-        behaviour::HealthForm::AlwaysWell,
+        form(behaviour::ResponseMode::Failing),
+        behaviour::HealthMode::AlwaysWell,
     );
     let table = [
-        (form(behaviour::AnswerForm::Whole), Some(200), Some(200)),
-        (form(behaviour::AnswerForm::Failing), Some(500), Some(503)),
-        (form(behaviour::AnswerForm::InPart), None, Some(503)),
+        (form(behaviour::ResponseMode::Whole), Some(200), Some(200)),
+        (form(behaviour::ResponseMode::Failing), Some(500), Some(503)),
+        (form(behaviour::ResponseMode::InPart), None, Some(503)),
         (misreporting, Some(500), Some(200)),
     ];
     for (behaviour, answered, health) in table {
@@ -78,7 +78,7 @@
 #[tokio::test]
 async fn excess_shed() {
     let target = start(behaviour::StandInBehaviour {
-        answer: behaviour::AnswerForm::Never,
+        answer: behaviour::ResponseMode::Never,
         ..behaviour::StandInBehaviour::default()
     })
     .await;
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -174,8 +174,8 @@
     let mut fleet = limited_fleet().await;
     let _honest = stand_in(&mut fleet, ("registru", 1), 10, slow(0)).await;
     let lies = behaviour::StandInBehaviour {
-        answer: behaviour::AnswerForm::Failing,
-        health: behaviour::HealthForm::AlwaysWell,
+        answer: behaviour::ResponseMode::Failing,
+        health: behaviour::HealthMode::AlwaysWell,
         ..slow(0)
     };
     let lying = stand_in(&mut fleet, ("registru", 2), 10, lies).await;
--- a/tests/all/rollouts.rs
+++ b/tests/all/rollouts.rs
@@ -24,7 +24,7 @@
 async fn versions(
     fleet: &mut fleet::Fleet,
     (names, text): ([&str; 2], &str),
-    answer: behaviour::AnswerForm,
+    answer: behaviour::ResponseMode,
 ) -> Vec<target::StandInTarget> {
     let mut targets = Vec::new();
     for name in names {
@@ -115,10 +115,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn good_version_through() {
     let mut fleet = support::small_fleet().await;
-    let old = versions(&mut fleet, (OLD, "v1"), behaviour::AnswerForm::Whole).await;
+    let old = versions(&mut fleet, (OLD, "v1"), behaviour::ResponseMode::Whole).await;
     support::wait_answer(&fleet, "/vehicles/first").await;
     order(&mut fleet).await;
-    let new = versions(&mut fleet, (NEW, "v2"), behaviour::AnswerForm::Whole).await;
+    let new = versions(&mut fleet, (NEW, "v2"), behaviour::ResponseMode::Whole).await;
     let (code, text, failed) = watch(&mut fleet).await;
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("succeeded"), "{text}");
@@ -130,8 +130,8 @@
 async fn old_heard_of_late() {
     let mut fleet = support::small_fleet().await;
     order(&mut fleet).await;
-    let old = versions(&mut fleet, (OLD, "v1"), behaviour::AnswerForm::Whole).await;
-    let new = versions(&mut fleet, (NEW, "v2"), behaviour::AnswerForm::Whole).await;
+    let old = versions(&mut fleet, (OLD, "v1"), behaviour::ResponseMode::Whole).await;
+    let new = versions(&mut fleet, (NEW, "v2"), behaviour::ResponseMode::Whole).await;
     let (code, text, _failed) = watch(&mut fleet).await;
     assert_eq!(code, Some(0), "{text}");
     check_left(&mut fleet, &old, &new).await;
@@ -140,10 +140,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_version_back() {
     let mut fleet = support::small_fleet().await;
-    let old = versions(&mut fleet, (OLD, "v1"), behaviour::AnswerForm::Whole).await;
+    let old = versions(&mut fleet, (OLD, "v1"), behaviour::ResponseMode::Whole).await;
     support::wait_answer(&fleet, "/vehicles/first").await;
     order(&mut fleet).await;
-    let new = versions(&mut fleet, (NEW, "v2"), behaviour::AnswerForm::Failing).await;
+    let new = versions(&mut fleet, (NEW, "v2"), behaviour::ResponseMode::Failing).await;
     let (code, text, _failed) = watch(&mut fleet).await;
     assert_eq!(code, Some(1), "{text}");
     assert!(text.contains("HZ2019"), "{text}");
--- a/tests/all/seeing.rs
+++ b/tests/all/seeing.rs
@@ -211,7 +211,7 @@
     let mut fleet = started_fleet().await;
     let target = support::stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
     target.set_behaviour(behaviour::StandInBehaviour {
-        answer: behaviour::AnswerForm::Failing,
+        answer: behaviour::ResponseMode::Failing,
         ..behaviour::StandInBehaviour::default()
     });
     wait::until("a failed run", || async {
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -122,7 +122,7 @@
     }
 
     async fn add_target(&mut self, node: &str) {
-        self.add_version(node, None, behaviour::AnswerForm::Whole)
+        self.add_version(node, None, behaviour::ResponseMode::Whole)
             .await;
     }
 
@@ -130,7 +130,7 @@
         &mut self,
         node: &str,
         version: Option<&str>,
-        answer: behaviour::AnswerForm,
+        answer: behaviour::ResponseMode,
     ) {
         self.names += 1;
         let name = format!("target-{}", self.names);
@@ -148,9 +148,9 @@
     async fn roll_out(&mut self) {
         let version = format!("v{}", self.names);
         let answer = if self.random.random_bool(0.5) {
-            behaviour::AnswerForm::Whole
+            behaviour::ResponseMode::Whole
         } else {
-            behaviour::AnswerForm::Failing
+            behaviour::ResponseMode::Failing
         };
         let order = json!({"service": "registru", "to": version, "within_ms": ROLLOUT_MS});
         let request = json!({"change_id": format!("order-{version}"), "expects": 0,
