--- a/tests/all/seeing.rs
+++ b/tests/all/seeing.rs
@@ -210,8 +210,8 @@
 async fn slots_accounted() {
     let mut fleet = started_fleet().await;
     let target = support::stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
-    target.behave(behaviour::StandInBehaviour {
-        answer: behaviour::AnswerForm::Failing,
+    target.set_behaviour(behaviour::StandInBehaviour {
+        answer: behaviour::ResponseMode::Failing,
         ..behaviour::StandInBehaviour::default()
     });
     wait::until("a failed run", || async {
