--- a/crates/testkit/src/entries.rs
+++ b/crates/testkit/src/entries.rs
@@ -1,4 +1,4 @@
-//! Changes of the catalogue for tests that need many of them.
+//! Catalogue changes for tests.
 
 use hazeltiller_catalogue::change;
 use rand::{RngExt, SeedableRng};
@@ -8,10 +8,10 @@
 const SEED: u64 = 11;
 
 fn change(value: &Value) -> change::ChangeSet {
-    serde_json::from_value(value.clone()).expect("tests give changes")
+    serde_json::from_value(value.clone()).expect("the change set is valid")
 }
 
-/// The first change: a class and an owner.
+/// Returns the first change: a class and an owner.
 pub fn base() -> change::ChangeSet {
     change(&json!({"put": [
         {"kind": "class", "name": "counter", "owner": "registru", "class": "counter"},
@@ -28,36 +28,36 @@
            "service": name, "match": {"path_prefix": format!("/{name}")}})
 }
 
-/// Puts services, each with a route of the same name.
+/// Returns a change that puts services, each with a route of the same name.
 pub fn put_routed_services(names: &[&str]) -> change::ChangeSet {
     let entries = names.iter().flat_map(|name| [service(name), route(name)]);
     change(&json!({"put": entries.collect::<Vec<Value>>()}))
 }
 
-/// Changes a service of [`put_routed_services`].
+/// Returns a change that sets the slots of a service from [`put_routed_services`].
 pub fn put_slots(name: &str, slots: u32) -> change::ChangeSet {
     let mut service = service(name);
     service["limits"] = json!({"slots": slots});
     change(&json!({"put": [service]}))
 }
 
-/// Removes the entry of a kind and name.
+/// Returns a change that removes an entry.
 pub fn remove(kind: &str, name: &str) -> change::ChangeSet {
     change(&json!({"remove": [{"kind": kind, "name": name}]}))
 }
 
-/// Entries as various as a real catalogue's: services with two routes each, and their owners and
-/// classes, from a fixed seed.
+/// Returns a change that puts services with two routes each, and their owners and classes. All
+/// names are random, from a fixed seed, so that the entries vary like those of a real catalogue.
 pub fn generated(services: usize) -> change::ChangeSet {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
-    let mut word = || -> String {
+    let mut random_name = || -> String {
         let length = random.random_range(4..10);
         (0..length)
             .map(|_| char::from(random.random_range(b'a'..=b'z')))
             .collect()
     };
-    let classes: Vec<String> = (0..4).map(|_| word()).collect();
-    let owners: Vec<String> = (0..10).map(|_| word()).collect();
+    let classes: Vec<String> = (0..4).map(|_| random_name()).collect();
+    let owners: Vec<String> = (0..10).map(|_| random_name()).collect();
     let mut put = Vec::new();
     for class in &classes {
         put.push(json!({"kind": "class", "name": class, "owner": owners[0], "class": class}));
@@ -65,7 +65,7 @@
     for owner in &owners {
         put.push(
             json!({"kind": "owner", "name": owner, "owner": owner, "class": classes[0],
-                        "limits": {"rate": "500/s"}, "operators": [word(), word()]}),
+                        "limits": {"rate": "500/s"}, "operators": [random_name(), random_name()]}),
         );
     }
     for index in 0..services {
@@ -73,19 +73,20 @@
             &owners[index % owners.len()],
             &classes[index % classes.len()],
         );
-        let service = format!("{}-{}", word(), word());
+        let service = format!("{}-{}", random_name(), random_name());
         put.push(
             json!({"kind": "service", "name": service, "owner": owner, "class": class,
                         "limits": {"slots": 6 + index % 5, "connections": 120 + index % 11},
-                        "probe": {"path": format!("/{}", word())}}),
+                        "probe": {"path": format!("/{}", random_name())}}),
         );
         for method in ["GET", "POST"] {
             put.push(
-                json!({"kind": "route", "name": format!("{service}-{}", word()),
+                json!({"kind": "route", "name": format!("{service}-{}", random_name()),
                             "owner": owner, "class": class, "service": service,
-                            "match": {"path_prefix": format!("/{}/{}", word(), word()),
+                            "match": {"path_prefix": format!("/{}/{}", random_name(),
+                                                             random_name()),
                                       "methods": [method]},
-                            "costs": [{"path_prefix": format!("/{}", word()), "cost": 5}]}),
+                            "costs": [{"path_prefix": format!("/{}", random_name()), "cost": 5}]}),
             );
         }
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,8 @@
-//! What integration tests share: real processes behind fault-injecting proxies, and patience.
+//! Shared infrastructure of integration tests: daemon processes behind fault-injecting proxies,
+//! reducers in simulations with virtual time, and waiting with a time-out.
 //!
-//! Nothing here imitates the system: tests start the real daemon, or the real reducers on a small
-//! fake network, and meddle with what is between them.
+//! The code under test is never replaced by a mock: tests run the daemon itself, or the reducers
+//! themselves on a simulated network, and inject faults between the instances.
 
 pub mod entries;
 pub mod fleet;
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -1,8 +1,9 @@
-//! Reducers of a few nodes before targets of seeded service times: decisions under load, measured.
+//! Discrete-event simulation of load: the reducers of some nodes, with simulated callers, links and
+//! targets.
 //!
-//! Callers, links and targets are arithmetic on one clock, so a run takes no real time and comes
-//! out the same again. It says what the decisions do to queues; it knows nothing of sockets,
-//! schedulers and processors, which only real processes show.
+//! All events are on one virtual clock and random times are seeded, so a run takes little real time
+//! and is reproducible. It shows how the reducers' decisions affect queues. It does not model
+//! sockets or schedulers, whose effects only show in tests with processes.
 
 use std::time::Duration;
 
@@ -12,49 +13,50 @@
 
 pub use run::CallModel;
 
-/// Who chooses a target.
+/// How the target of a call is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BalancingPolicy {
-    /// The reducer of the ingress node.
+    /// By the reducer of the ingress node.
     Reducer,
-    /// Each ingress node goes round.
+    /// Round robin at each ingress node.
     RoundRobin,
-    /// Each ingress node takes the target with the fewest own calls for its announced slots.
+    /// The target with the fewest calls of the ingress node itself in flight, relative to its
+    /// announced slots.
     LeastRequest,
 }
 
-/// A target of the model.
+/// Target of the simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct ModelTarget {
-    /// Service that it is of.
+    /// Service of the target.
     pub service_name: &'static str,
-    /// Requests that it really runs at once.
+    /// Number of requests that it can run at a time.
     pub slots: u32,
-    /// Requests that it announces.
+    /// Number of slots that it announces.
     pub announced_slots: u32,
-    /// Mean time of a run for each cost unit.
+    /// Mean duration of a run per unit of cost; durations are exponentially distributed.
     pub mean_run_time: Duration,
-    /// Requests that wait inside of it; more are refused.
+    /// Capacity of its internal queue, beyond which it refuses requests.
     pub queue_capacity: usize,
-    /// Whether the connection breaks under every request.
+    /// Whether the connection breaks during every request.
     pub is_broken: bool,
 }
 
-/// Requests of one kind.
+/// One kind of requests.
 #[derive(Debug, Clone, Copy)]
 pub struct CallKind {
-    /// Their path, by which the catalogue knows them.
+    /// Path of the requests, which selects their route.
     pub path: &'static str,
-    /// How many a second callers send.
+    /// Rate at which callers send them, per second.
     pub rate: f64,
-    /// What their callers do where there is no good answer.
+    /// What their callers do after a failure or refusal.
     pub caller_policy: CallerPolicy,
-    /// Calls that each run makes itself; it fails if one of them does.
+    /// Calls that each run makes itself; the run fails if one of them fails.
     pub inner: Option<InnerCalls>,
 }
 
 impl CallKind {
-    /// Requests that are sent once and call nothing.
+    /// Creates requests that are sent once and whose runs make no calls.
     pub fn plain(path: &'static str, rate: f64) -> Self {
         Self {
             path,
@@ -65,96 +67,97 @@
     }
 }
 
-/// What callers do where there is no good answer.
+/// What callers do after a failure or refusal.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CallerPolicy {
-    /// Times that they come back, when a refusal says or at once after a failure.
+    /// Maximum number of retries. A caller waits for the time that a refusal names, or a short time
+    /// after a failure.
     pub retries: u32,
-    /// Time after which they give up, over all their sends; they tell what is left of it. Absent: the
-    /// route's own limit.
+    /// Time-out over all attempts of the caller, which sends the remaining time as the deadline.
+    /// `None` applies the deadline of the route and disables retries.
     pub timeout: Option<Duration>,
 }
 
-/// Calls that a run makes, all at once.
+/// Concurrent calls that a run makes.
 #[derive(Debug, Clone, Copy)]
 pub struct InnerCalls {
-    /// Place of their kind.
+    /// Index of their kind.
     pub kind: usize,
-    /// How many.
+    /// Number of calls.
     pub count: u32,
-    /// When the run makes them.
+    /// Time at which the run makes them.
     pub timing: CallTiming,
 }
 
-/// When a run makes its calls.
+/// Time at which a run makes its calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallTiming {
-    /// When it begins, beside its own work.
+    /// At its start, concurrently with its own work.
     AtStart,
-    /// When its own work is done.
+    /// After its own work.
     AtEnd,
 }
 
-/// What a model is made of.
+/// Settings of a simulation.
 #[derive(Debug, Clone)]
 pub struct ModelSettings {
-    /// Seed of arrivals and service times.
+    /// Seed of arrivals and run times.
     pub seed: u64,
-    /// Ingress nodes.
+    /// Number of ingress nodes.
     pub ingresses: usize,
-    /// Targets, each with a node of its own.
+    /// Targets, each with its own owner node.
     pub targets: Vec<ModelTarget>,
-    /// The catalogue.
+    /// Entries of the catalogue.
     pub entries: Value,
-    /// One-way time between nodes.
+    /// One-way latency between nodes.
     pub link: Duration,
-    /// Who chooses.
+    /// How targets are chosen.
     pub policy: BalancingPolicy,
 }
 
-/// What became of the requests of a kind.
+/// Statistics of one kind of requests.
 #[derive(Debug, Clone, Default)]
 pub struct KindStats {
-    /// Sent by callers.
+    /// Requests sent by callers, without retries.
     pub sent: u64,
-    /// Offered to targets' nodes.
+    /// Offers sent to owner nodes.
     pub tries: u64,
-    /// Handed to ingress nodes, by callers and again by those that came back.
+    /// Requests that arrived at ingress nodes, including retries of callers.
     pub arrivals: u64,
-    /// Times from an arrival to its refusal, in microseconds.
+    /// Times from arrival to refusal, in microseconds.
     pub refusals: Vec<u64>,
-    /// Started at targets.
+    /// Runs started at targets.
     pub runs: u64,
-    /// Slot time of all runs.
+    /// Total time that runs occupied slots.
     pub slot_time: Duration,
-    /// Slot time of the runs that came to nothing.
+    /// Time that runs occupied slots and then failed because one of their own calls failed.
     pub wasted_time: Duration,
-    /// Runs that came to nothing because a call of theirs did.
+    /// Runs that failed because one of their own calls failed.
     pub wasted: u64,
-    /// Answered well and in time.
+    /// Requests answered successfully before their deadline.
     pub good: u64,
-    /// Times of the good ones from their callers' first sends, in microseconds.
+    /// Latencies of these from the caller's first attempt, in microseconds.
     pub latencies: Vec<u64>,
 }
 
 impl KindStats {
-    /// How many were answered within a time.
-    pub fn count_within(&self, aim: Duration) -> usize {
-        let in_time = |latency: &&u64| u128::from(**latency) <= aim.as_micros();
+    /// Returns the number of requests answered successfully within a latency.
+    pub fn count_within(&self, limit: Duration) -> usize {
+        let in_time = |latency: &&u64| u128::from(**latency) <= limit.as_micros();
         self.latencies.iter().filter(in_time).count()
     }
 
-    /// The time that this share of the good ones stayed under, in microseconds.
+    /// Returns a quantile of the latencies, in microseconds.
     pub fn latency_quantile(&self, share: f64) -> u64 {
         quantile(&self.latencies, share)
     }
 
-    /// The time that this share of the refused ones was held for at most, in microseconds.
+    /// Returns a quantile of the times to refusal, in microseconds.
     pub fn refusal_quantile(&self, share: f64) -> u64 {
         quantile(&self.refusals, share)
     }
 
-    /// Share of the slot time that went to runs that came to nothing.
+    /// Returns the share of slot time that was spent on wasted runs.
     pub fn wasted_share(&self) -> f64 {
         self.wasted_time.as_secs_f64() / self.slot_time.as_secs_f64().max(f64::EPSILON)
     }
@@ -163,7 +166,7 @@
 fn quantile(times: &[u64], share: f64) -> u64 {
     let mut sorted = times.to_vec();
     sorted.sort_unstable();
-    let place = (sorted.len() as f64 * share) as usize;
+    let index = (sorted.len() as f64 * share) as usize;
     let last = sorted.len().saturating_sub(1);
-    sorted.get(place.min(last)).copied().unwrap_or(0)
+    sorted.get(index.min(last)).copied().unwrap_or(0)
 }
--- a/crates/testkit/src/model/run.rs
+++ b/crates/testkit/src/model/run.rs
@@ -1,4 +1,4 @@
-//! The model's one agenda: what happens next, at ingress nodes, owner nodes and targets.
+//! Event loop of the simulation, for ingress nodes, owner nodes and targets.
 
 use std::{
     cmp::Reverse,
@@ -24,34 +24,36 @@
 const REGION: &str = "ro-centru";
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Phase(usize),
-    /// A caller's first send in a phase.
-    Arrive(usize, usize),
-    /// Another send of a caller.
-    Return(u64),
-    /// A call has come up at its ingress node.
-    Reach(u64),
-    Offer(u64),
-    RunOver(u64),
-    Answer(u64),
+enum ModelEvent {
+    PhaseStarted(usize),
+    /// A caller sends the next new request of a phase and kind.
+    CallSent(usize, usize),
+    /// A caller retries a call.
+    CallRetried(u64),
+    /// An ingress node has received a call.
+    CallReceived(u64),
+    OfferReceived(u64),
+    /// A run has finished its own work.
+    WorkEnded(u64),
+    AnswerReceived(u64),
     Tick,
 }
 
-/// One try of a call on its way.
+/// Attempt of a call, from its offer to its answer.
 #[derive(Debug, Clone)]
-struct ModelTry {
+struct ModelAttempt {
     call: u64,
     target: usize,
     offer: wire::CallOffer,
-    due: time::MonotonicTime,
-    /// When it got a slot.
+    deadline: time::MonotonicTime,
+    /// Time at which it was given a slot.
     started: time::MonotonicTime,
     result: Option<(calls::AttemptResult, Option<wire::LoadReport>)>,
-    /// Calls of its run that have not ended, and whether its own work has.
-    inner_left: u32,
+    /// Number of calls of its run that have not ended.
+    inner_calls_left: u32,
+    /// Whether its run has finished its own work.
     is_work_done: bool,
-    /// Whether a call of its run came to nothing.
+    /// Whether a call of its run has failed.
     has_failed: bool,
 }
 
@@ -60,12 +62,12 @@
     phase: usize,
     kind: usize,
     ingress: usize,
-    /// When its caller first sent it.
-    began: time::MonotonicTime,
-    /// When it came to its ingress node, this time.
-    arrived: time::MonotonicTime,
-    returns_left: u32,
-    /// The run that makes it.
+    /// Time of the caller's first attempt.
+    first_sent_at: time::MonotonicTime,
+    /// Time of the caller's current attempt.
+    sent_at: time::MonotonicTime,
+    retries_left: u32,
+    /// Attempt whose run makes this call.
     parent: Option<u64>,
 }
 
@@ -73,37 +75,40 @@
 struct TargetState {
     settings: model::ModelTarget,
     node: node::NodeReducer,
-    busy: u32,
-    waiting: VecDeque<u64>,
-    /// Load that goes with the answer of a run.
+    running: u32,
+    queue: VecDeque<u64>,
+    /// Load report that is sent with the answer of a run, by attempt.
     loads: IndexMap<u64, wire::LoadReport>,
 }
 
-/// A model that runs.
+/// Simulation of callers, nodes and targets.
 #[derive(Debug)]
 pub struct CallModel {
     settings: model::ModelSettings,
     phases: Vec<(Vec<model::CallKind>, Duration)>,
     phase: usize,
     counts: Vec<Vec<model::KindStats>>,
-    /// Callers that come back, by the number of their next call.
-    returning: IndexMap<u64, ModelCall>,
+    /// Calls to be retried, by number.
+    waiting_retries: IndexMap<u64, ModelCall>,
     now: time::MonotonicTime,
+    /// Time after which no new requests are sent.
     end: time::MonotonicTime,
     random: ChaCha8Rng,
     ingresses: Vec<node::NodeReducer>,
     targets: Vec<TargetState>,
-    agenda: BinaryHeap<Reverse<(time::MonotonicTime, u64, Happening)>>,
+    event_queue: BinaryHeap<Reverse<(time::MonotonicTime, u64, ModelEvent)>>,
     sequence: u64,
     calls: IndexMap<u64, ModelCall>,
-    tries: IndexMap<u64, ModelTry>,
-    turns: Vec<usize>,
-    own: Vec<Vec<u32>>,
+    attempts: IndexMap<u64, ModelAttempt>,
+    /// Round-robin position of each ingress node.
+    next_targets: Vec<usize>,
+    /// Calls in flight by ingress node and target.
+    in_flight: Vec<Vec<u32>>,
     processors: processor::NodeProcessors,
 }
 
 impl CallModel {
-    /// A model before its first request.
+    /// Creates a simulation without requests.
     pub fn new(settings: model::ModelSettings) -> Self {
         let mut ingresses: Vec<node::NodeReducer> = (0..settings.ingresses)
             .map(|number| {
@@ -130,34 +135,34 @@
             targets.push(TargetState {
                 settings: *target,
                 node: owner,
-                busy: 0,
-                waiting: VecDeque::new(),
+                running: 0,
+                queue: VecDeque::new(),
                 loads: IndexMap::new(),
             });
         }
-        let own = vec![vec![0; targets.len()]; ingresses.len()];
+        let in_flight = vec![vec![0; targets.len()]; ingresses.len()];
         Self {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
-            turns: vec![0; ingresses.len()],
-            own,
+            next_targets: vec![0; ingresses.len()],
+            in_flight,
             settings,
             phases: Vec::new(),
             phase: 0,
             counts: Vec::new(),
-            returning: IndexMap::new(),
+            waiting_retries: IndexMap::new(),
             now: time::MonotonicTime::default(),
             end: time::MonotonicTime::default(),
             ingresses,
             targets,
-            agenda: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             sequence: 0,
             calls: IndexMap::new(),
-            tries: IndexMap::new(),
+            attempts: IndexMap::new(),
             processors: processor::NodeProcessors::default(),
         }
     }
 
-    /// Has every node take this long for each message that it handles, one after another.
+    /// Makes every node take this long to handle a message, one message at a time.
     #[must_use]
     pub fn with_processors(mut self, message_time: Duration) -> Self {
         let nodes = self.ingresses.len() + self.targets.len();
@@ -165,28 +170,28 @@
         self
     }
 
-    /// Changes every ingress node, say a tunable.
+    /// Changes every ingress node, for example its tunables.
     #[must_use]
     pub fn with_ingresses(mut self, change: impl Fn(&mut node::NodeReducer)) -> Self {
         self.ingresses.iter_mut().for_each(change);
         self
     }
 
-    /// Breaks the first targets or mends them.
+    /// Makes the first `count` targets break every connection and the others work.
     pub fn set_broken(&mut self, count: usize) {
         for (number, target) in self.targets.iter_mut().enumerate() {
             target.settings.is_broken = number < count;
         }
     }
 
-    /// Sends requests for a time, and waits until each has ended; returns what became of them.
+    /// Sends requests for a time and runs until all have ended; returns statistics by kind.
     pub fn run(&mut self, kinds: &[model::CallKind], span: Duration) -> Vec<model::KindStats> {
         let mut counts = self.run_phases(vec![(kinds.to_vec(), span)]);
         counts.swap_remove(0)
     }
 
-    /// The same for phases of other rates, one right after the other; a request counts in the phase in
-    /// which its caller first sent it.
+    /// Runs several phases with their own rates, one directly after the other; returns statistics
+    /// by phase and kind. A request counts in the phase of its caller's first attempt.
     pub fn run_phases(
         &mut self,
         phases: Vec<(Vec<model::CallKind>, Duration)>,
@@ -197,25 +202,25 @@
         self.counts = phases.iter().map(counts).collect();
         self.end = self.now + phases.iter().map(|(_, span)| *span).sum();
         self.phases = phases;
-        self.plan(Duration::ZERO, Happening::Phase(0));
-        self.plan(TICK, Happening::Tick);
-        while let Some(Reverse((at, _, happening))) = self.agenda.pop() {
+        self.schedule(Duration::ZERO, ModelEvent::PhaseStarted(0));
+        self.schedule(TICK, ModelEvent::Tick);
+        while let Some(Reverse((at, _, event))) = self.event_queue.pop() {
             self.now = at;
-            self.happen(happening);
+            self.handle_event(event);
         }
         std::mem::take(&mut self.counts)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Phase(phase) => self.begin_phase(phase),
-            Happening::Arrive(phase, kind) => self.arrive(phase, kind),
-            Happening::Return(call) => self.come_back(call),
-            Happening::Reach(call) => self.reach_ingress(call),
-            Happening::Offer(number) => self.offer(number),
-            Happening::RunOver(number) => self.end_work(number),
-            Happening::Answer(number) => self.answer(number),
-            Happening::Tick => self.tick(),
+    fn handle_event(&mut self, event: ModelEvent) {
+        match event {
+            ModelEvent::PhaseStarted(phase) => self.begin_phase(phase),
+            ModelEvent::CallSent(phase, kind) => self.send_new(phase, kind),
+            ModelEvent::CallRetried(call) => self.retry(call),
+            ModelEvent::CallReceived(call) => self.receive_call(call),
+            ModelEvent::OfferReceived(number) => self.receive_offer(number),
+            ModelEvent::WorkEnded(number) => self.end_work(number),
+            ModelEvent::AnswerReceived(number) => self.receive_answer(number),
+            ModelEvent::Tick => self.tick(),
         }
     }
 
@@ -225,18 +230,18 @@
         };
         let (kinds, span) = (kinds.len(), *span);
         self.phase = phase;
-        self.plan(span, Happening::Phase(phase + 1));
+        self.schedule(span, ModelEvent::PhaseStarted(phase + 1));
         for kind in 0..kinds {
-            self.plan_arrival(kind);
+            self.schedule_next_call(kind);
         }
     }
 
-    /// Plans the next request of a kind, which does not come where its phase is over by then.
-    fn plan_arrival(&mut self, kind: usize) {
+    /// Schedules the next new request of a kind, which is not sent if the phase has ended by then.
+    fn schedule_next_call(&mut self, kind: usize) {
         let rate = self.kind(kind).rate;
         if rate > 0.0 {
             let next = self.exponential(1.0 / rate);
-            self.plan(next, Happening::Arrive(self.phase, kind));
+            self.schedule(next, ModelEvent::CallSent(self.phase, kind));
         }
     }
 
@@ -249,27 +254,29 @@
         &mut self.counts[record.phase][record.kind]
     }
 
-    fn plan(&mut self, after: Duration, happening: Happening) {
+    fn schedule(&mut self, after: Duration, event: ModelEvent) {
         self.sequence += 1;
-        let entry = (self.now + after, self.sequence, happening);
-        self.agenda.push(Reverse(entry));
+        let scheduled = (self.now + after, self.sequence, event);
+        self.event_queue.push(Reverse(scheduled));
     }
 
-    /// Plans a message that reaches an ingress node after a time.
-    fn plan_at_ingress(&mut self, ingress: usize, after: Duration, happening: Happening) {
-        let done = self.processors.take(ingress, self.now + after);
-        self.plan(done.since(self.now), happening);
+    /// Schedules an event for when an ingress node has handled a message that it receives after
+    /// a time.
+    fn schedule_at_ingress(&mut self, ingress: usize, after: Duration, event: ModelEvent) {
+        let handled_at = self.processors.handle_message(ingress, self.now + after);
+        self.schedule(handled_at.since(self.now), event);
     }
 
-    /// The same for the node of a target.
-    fn plan_at_owner(&mut self, target: usize, after: Duration, happening: Happening) {
+    /// Schedules an event for when the owner node of a target has handled a message that it
+    /// receives after a time.
+    fn schedule_at_owner(&mut self, target: usize, after: Duration, event: ModelEvent) {
         let node = self.ingresses.len() + target;
-        let done = self.processors.take(node, self.now + after);
-        self.plan(done.since(self.now), happening);
+        let handled_at = self.processors.handle_message(node, self.now + after);
+        self.schedule(handled_at.since(self.now), event);
     }
 
     fn exponential(&mut self, mean: f64) -> Duration {
-        let share: f64 = self.random.random();
-        Duration::from_secs_f64(-(1.0 - share).ln() * mean)
+        let uniform: f64 = self.random.random();
+        Duration::from_secs_f64(-(1.0 - uniform).ln() * mean)
     }
 }
--- a/crates/testkit/src/model/run/owners.rs
+++ b/crates/testkit/src/model/run/owners.rs
@@ -1,4 +1,4 @@
-//! Owner nodes of the model and the targets beside them.
+//! Owner nodes of the simulation and their targets.
 
 use std::time::Duration;
 
@@ -6,95 +6,95 @@
 use hazeltiller_units::{code, ids};
 use hazeltiller_wire::calls as wire;
 
-use super::{CallModel, Happening, ModelCall, TICK};
+use super::{CallModel, ModelCall, ModelEvent, TICK};
 use crate::model;
 
-/// Status of a call that a target's own bounded queue refused.
+/// Status of a request that a target refuses because its internal queue is full.
 const REFUSED_STATUS: u16 = 429;
-/// Status of a run whose own calls came to nothing.
+/// Status of a run that fails because one of its calls failed.
 const FAILED_STATUS: u16 = 500;
 
 impl CallModel {
-    pub(super) fn offer(&mut self, number: u64) {
-        let record = self.tries[&number].clone();
+    pub(super) fn receive_offer(&mut self, number: u64) {
+        let attempt = self.attempts[&number].clone();
         let event = calls::CallEvent::Offered {
             call: ids::CallId(number),
-            offer: record.offer,
+            offer: attempt.offer,
         };
-        self.ask_owner(record.target, event);
+        self.reduce_at_owner(attempt.target, event);
     }
 
-    pub(super) fn ask_owner(&mut self, target: usize, event: calls::CallEvent) {
+    pub(super) fn reduce_at_owner(&mut self, target: usize, event: calls::CallEvent) {
         self.targets[target].node.now = self.now;
         let effects = self.targets[target].node.call(event);
-        self.follow_owner(target, effects);
+        self.run_owner_effects(target, effects);
     }
 
-    pub(super) fn follow_owner(&mut self, target: usize, effects: Vec<calls::CallEffect>) {
+    pub(super) fn run_owner_effects(&mut self, target: usize, effects: Vec<calls::CallEffect>) {
         for effect in effects {
             match effect {
                 calls::CallEffect::Run(call, plan) => {
                     self.targets[target].loads.insert(call.0, plan.load);
-                    self.start(target, call.0);
+                    self.receive_request(target, call.0);
                 }
                 calls::CallEffect::Refuse(call, refusal) => {
                     self.reply(call.0, calls::AttemptResult::Refused(refusal), None);
                 }
-                other => unreachable!("an owner node makes no {other:?}"),
+                other => unreachable!("unexpected effect at an owner node: {other:?}"),
             }
         }
     }
 
-    /// The target gets a request: it runs it, lets it wait or refuses it.
-    pub(super) fn start(&mut self, target: usize, number: u64) {
+    /// Runs, queues or refuses a request that a target receives.
+    pub(super) fn receive_request(&mut self, target: usize, number: u64) {
         let state = &mut self.targets[target];
         if state.settings.is_broken {
-            return self.end(number, calls::RunResult::Crashed);
+            return self.end_run(number, calls::RunResult::Crashed);
         }
-        if state.busy < state.settings.slots {
-            state.busy += 1;
-            return self.serve(number);
+        if state.running < state.settings.slots {
+            state.running += 1;
+            return self.start_run(number);
         }
-        if state.waiting.len() < state.settings.queue_capacity {
-            state.waiting.push_back(number);
+        if state.queue.len() < state.settings.queue_capacity {
+            state.queue.push_back(number);
             return;
         }
         let status = REFUSED_STATUS;
-        self.end(number, calls::RunResult::Done { status });
+        self.end_run(number, calls::RunResult::Done { status });
     }
 
-    pub(super) fn serve(&mut self, number: u64) {
-        let record = &mut self.tries[&number];
-        record.started = self.now;
-        let (call, target, due) = (record.call, record.target, record.due);
-        let unit = self.targets[target].settings.mean_run_time.as_secs_f64();
-        let mean = unit * f64::from(record.offer.cost);
+    pub(super) fn start_run(&mut self, number: u64) {
+        let attempt = &mut self.attempts[&number];
+        attempt.started = self.now;
+        let (call, target, deadline) = (attempt.call, attempt.target, attempt.deadline);
+        let mean_per_cost_s = self.targets[target].settings.mean_run_time.as_secs_f64();
+        let mean_s = mean_per_cost_s * f64::from(attempt.offer.cost);
         self.count(call).runs += 1;
-        let took = self.exponential(mean).min(due.since(self.now));
-        self.plan(took, Happening::RunOver(number));
+        let work_time = self.exponential(mean_s).min(deadline.since(self.now));
+        self.schedule(work_time, ModelEvent::WorkEnded(number));
         let inner = self.kind(self.calls[&call].kind).inner;
         if inner.is_some_and(|inner| inner.timing == model::CallTiming::AtStart) {
-            self.call_inner(number);
+            self.send_inner_calls(number);
         }
     }
 
-    /// Makes the calls of a run.
-    fn call_inner(&mut self, number: u64) {
-        let record = &self.tries[&number];
-        let (target, call) = (record.target, &self.calls[&record.call]);
+    /// Sends the calls that a run makes.
+    fn send_inner_calls(&mut self, number: u64) {
+        let attempt = &self.attempts[&number];
+        let (target, call) = (attempt.target, &self.calls[&attempt.call]);
         let phase = call.phase;
         let Some(inner) = self.kind(call.kind).inner else {
             return;
         };
-        self.tries[&number].inner_left = inner.count;
+        self.attempts[&number].inner_calls_left = inner.count;
         for _ in 0..inner.count {
             let inner_call = ModelCall {
                 phase,
                 kind: inner.kind,
                 ingress: target % self.ingresses.len(),
-                began: self.now,
-                arrived: self.now,
-                returns_left: 0,
+                first_sent_at: self.now,
+                sent_at: self.now,
+                retries_left: 0,
                 parent: Some(number),
             };
             self.counts[phase][inner.kind].sent += 1;
@@ -103,73 +103,74 @@
     }
 
     pub(super) fn end_work(&mut self, number: u64) {
-        let Some(record) = self.tries.get_mut(&number) else {
+        let Some(attempt) = self.attempts.get_mut(&number) else {
             return;
         };
-        record.is_work_done = true;
-        let call = record.call;
+        attempt.is_work_done = true;
+        let call = attempt.call;
         let inner = self.kind(self.calls[&call].kind).inner;
         if inner.is_some_and(|inner| inner.timing == model::CallTiming::AtEnd) {
-            self.call_inner(number);
+            self.send_inner_calls(number);
         }
         self.end_run_if_done(number);
     }
 
-    /// Takes the end of a call that a run made.
-    pub(super) fn end_inner(&mut self, number: u64, is_good: bool) {
-        if let Some(record) = self.tries.get_mut(&number) {
-            record.inner_left -= 1;
-            record.has_failed |= !is_good;
+    /// Handles the end of a call that a run made.
+    pub(super) fn end_inner_call(&mut self, number: u64, is_success: bool) {
+        if let Some(attempt) = self.attempts.get_mut(&number) {
+            attempt.inner_calls_left -= 1;
+            attempt.has_failed |= !is_success;
             self.end_run_if_done(number);
         }
     }
 
-    /// A run ends when its own work and all of its calls have, or with the first call that failed.
+    /// Ends a run when its own work and all its calls have ended, or as soon as one of its calls
+    /// fails.
     pub(super) fn end_run_if_done(&mut self, number: u64) {
-        let record = &self.tries[&number];
-        let is_whole = record.is_work_done && record.inner_left == 0;
-        if record.result.is_some() || !record.has_failed && !is_whole {
+        let attempt = &self.attempts[&number];
+        let is_complete = attempt.is_work_done && attempt.inner_calls_left == 0;
+        if attempt.result.is_some() || !attempt.has_failed && !is_complete {
             return;
         }
-        let (target, call) = (record.target, record.call);
-        let (took, has_failed) = (self.now.since(record.started), record.has_failed);
-        self.count(call).slot_time += took;
-        let record = &self.tries[&number];
+        let (target, call) = (attempt.target, attempt.call);
+        let (slot_time, has_failed) = (self.now.since(attempt.started), attempt.has_failed);
+        self.count(call).slot_time += slot_time;
+        let attempt = &self.attempts[&number];
         let result = if has_failed {
-            let count = self.count(call);
-            count.wasted += 1;
-            count.wasted_time += took;
+            let stats = self.count(call);
+            stats.wasted += 1;
+            stats.wasted_time += slot_time;
             let status = FAILED_STATUS;
             calls::RunResult::Done { status }
-        } else if self.now < record.due {
+        } else if self.now < attempt.deadline {
             calls::RunResult::Done { status: 200 }
         } else {
             calls::RunResult::TimedOut
         };
-        self.targets[target].busy -= 1;
-        // What waited inside of the target past its deadline is left out, at no cost.
-        while let Some(next) = self.targets[target].waiting.pop_front() {
-            if self.tries[&next].due > self.now {
-                self.targets[target].busy += 1;
-                self.serve(next);
+        self.targets[target].running -= 1;
+        // Requests whose deadline passed in the target's queue are dropped at no cost.
+        while let Some(next) = self.targets[target].queue.pop_front() {
+            if self.attempts[&next].deadline > self.now {
+                self.targets[target].running += 1;
+                self.start_run(next);
                 break;
             }
-            self.end(next, calls::RunResult::TimedOut);
+            self.end_run(next, calls::RunResult::TimedOut);
         }
-        self.end(number, result);
+        self.end_run(number, result);
     }
 
-    pub(super) fn end(&mut self, number: u64, result: calls::RunResult) {
-        let target = self.tries[&number].target;
+    pub(super) fn end_run(&mut self, number: u64, result: calls::RunResult) {
+        let target = self.attempts[&number].target;
         let load = self.targets[target].loads.swap_remove(&number);
         let call = ids::CallId(number);
-        self.ask_owner(target, calls::CallEvent::RunEnded { call, result });
-        let told = match result {
+        self.reduce_at_owner(target, calls::CallEvent::RunEnded { call, result });
+        let answer = match result {
             calls::RunResult::Done { status } => calls::AttemptResult::Answered { status },
-            calls::RunResult::TimedOut => refused(code::ResultCode::DeadlineExceeded),
-            _ => refused(code::ResultCode::TargetFailed),
+            calls::RunResult::TimedOut => refusal(code::ResultCode::DeadlineExceeded),
+            _ => refusal(code::ResultCode::TargetFailed),
         };
-        self.reply(number, told, load);
+        self.reply(number, answer, load);
     }
 
     pub(super) fn reply(
@@ -178,24 +179,29 @@
         result: calls::AttemptResult,
         load: Option<wire::LoadReport>,
     ) {
-        let record = &mut self.tries[&number];
-        record.result = Some((result, load));
-        let ingress = self.calls[&record.call].ingress;
-        self.plan_at_ingress(ingress, self.settings.link, Happening::Answer(number));
+        let attempt = &mut self.attempts[&number];
+        attempt.result = Some((result, load));
+        let ingress = self.calls[&attempt.call].ingress;
+        self.schedule_at_ingress(
+            ingress,
+            self.settings.link,
+            ModelEvent::AnswerReceived(number),
+        );
     }
 
+    /// Handles a tick at all owner nodes and schedules the next one while there are calls.
     pub(super) fn tick(&mut self) {
         for target in 0..self.targets.len() {
             self.targets[target].node.now = self.now;
             let effects = self.targets[target].node.advance(Duration::ZERO);
-            self.follow_owner(target, effects);
+            self.run_owner_effects(target, effects);
         }
-        if self.now < self.end || !self.calls.is_empty() || !self.returning.is_empty() {
-            self.plan(TICK, Happening::Tick);
+        if self.now < self.end || !self.calls.is_empty() || !self.waiting_retries.is_empty() {
+            self.schedule(TICK, ModelEvent::Tick);
         }
     }
 }
 
-fn refused(code: code::ResultCode) -> calls::AttemptResult {
+fn refusal(code: code::ResultCode) -> calls::AttemptResult {
     calls::AttemptResult::Refused(wire::CallRefusal::unknown(code))
 }
--- a/crates/testkit/src/model/run/processor.rs
+++ b/crates/testkit/src/model/run/processor.rs
@@ -1,10 +1,10 @@
-//! Processors of the model's nodes: messages wait for one another.
+//! Processor time of the simulated nodes, which handle one message at a time.
 
 use std::time::Duration;
 
 use hazeltiller_units::time;
 
-/// When each node has handled what it has got.
+/// Times at which the nodes have handled all messages received so far.
 #[derive(Debug, Default)]
 pub(super) struct NodeProcessors {
     message_time: Duration,
@@ -19,21 +19,21 @@
         }
     }
 
-    /// Whether messages take any time.
-    pub(super) fn is_charged(&self) -> bool {
+    /// Returns whether handling a message takes time.
+    pub(super) fn is_simulated(&self) -> bool {
         !self.message_time.is_zero()
     }
 
-    /// Takes a message that reaches a node; returns when the node has handled it.
-    pub(super) fn take(
+    /// Queues a message that a node receives; returns the time at which the node has handled it.
+    pub(super) fn handle_message(
         &mut self,
         node: usize,
-        reached: time::MonotonicTime,
+        received_at: time::MonotonicTime,
     ) -> time::MonotonicTime {
         let Some(free_at) = self.free_at.get_mut(node) else {
-            return reached;
+            return received_at;
         };
-        *free_at = reached.max(*free_at) + self.message_time;
+        *free_at = received_at.max(*free_at) + self.message_time;
         *free_at
     }
 }
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -1,6 +1,7 @@
-//! One node's reducer with a catalogue and members at hand, for tests and measurements.
+//! Reducer of one node with a catalogue and known members, for tests and benchmarks.
 //!
-//! It takes events only, as the daemon would send them, so it holds for any inside of the reducer.
+//! Tests drive it with the events that the daemon would send, so they do not depend on the
+//! reducer's internals.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,17 +14,17 @@
 const SEED: u64 = 7;
 const LONG_LEASE: Duration = Duration::from_hours(1);
 
-/// A reducer and its clock.
+/// Reducer and its clock.
 #[derive(Debug, Clone)]
 pub struct NodeReducer {
-    /// Its state.
+    /// State of the reducer.
     pub state: reducer::EngineState,
-    /// Its clock.
+    /// Current time of the reducer.
     pub now: time::MonotonicTime,
 }
 
 impl NodeReducer {
-    /// The reducer of a node in region `ro-centru`.
+    /// Creates the reducer of a node in region `ro-centru`.
     pub fn new(instance: &str, data_centre: &str, entries: &Value) -> Self {
         let settings = settings::EngineSettings {
             identity: identity(instance, data_centre, "ro-centru"),
@@ -39,7 +40,7 @@
         node
     }
 
-    /// Has a change of the catalogue come into force.
+    /// Puts entries into the catalogue in force.
     pub fn apply_entries(&mut self, entries: &Value) {
         let set = change::ChangeSet {
             put: serde_json::from_value(entries.clone()).expect("the test's entries are valid"),
@@ -47,27 +48,27 @@
         };
         let old: &catalogue_state::CatalogueState = &self.state.dissemination.in_force;
         let new = old.apply(&set, ids::LeaderTerm(1));
-        let new = new.expect("the test's entries are without faults");
+        let new = new.expect("the test's entries pass validation");
         self.state.dissemination.in_force = Arc::new(new);
     }
 
-    /// Takes an event.
+    /// Handles an event and returns its effects.
     pub fn reduce(&mut self, event: event::Event) -> Vec<event::Effect> {
         reducer::reduce(&mut self.state, self.now, event)
     }
 
-    /// Takes an event of a call; returns the effects of calls.
+    /// Handles an event of a call and returns the effects that concern calls.
     pub fn call(&mut self, event: calls::CallEvent) -> Vec<calls::CallEffect> {
         call_effects(self.reduce(event::Event::Calls(event)))
     }
 
-    /// Lets time pass; returns the effects of calls.
+    /// Advances the clock and handles a tick; returns the effects that concern calls.
     pub fn advance(&mut self, span: Duration) -> Vec<calls::CallEffect> {
         self.now = self.now + span;
         call_effects(self.reduce(event::Event::Tick))
     }
 
-    /// Has a target announce itself at this node.
+    /// Announces a target at this node, with a lease of an hour.
     pub fn announce(&mut self, record: wire_membership::TargetRecord) {
         let announcement = membership::TargetAnnouncement {
             record,
@@ -79,7 +80,7 @@
         self.reduce(event::Event::Membership(event));
     }
 
-    /// Has a member tell of itself and its targets.
+    /// Receives a member's record, with its targets, from that member.
     pub fn receive_record(
         &mut self,
         identity: &wire_membership::PeerIdentity,
@@ -100,23 +101,23 @@
     }
 }
 
-/// The effects of calls among all.
+/// Selects the effects that concern calls.
 pub fn call_effects(effects: Vec<event::Effect>) -> Vec<calls::CallEffect> {
-    let of_call = |effect| match effect {
+    let call_effect = |effect| match effect {
         event::Effect::Calls(effect) => Some(effect),
         _ => None,
     };
-    effects.into_iter().filter_map(of_call).collect()
+    effects.into_iter().filter_map(call_effect).collect()
 }
 
-/// A node's identity; its address follows from its name.
+/// Returns the identity of a node. Its address is derived from its name.
 pub fn identity(instance: &str, data_centre: &str, region: &str) -> wire_membership::PeerIdentity {
-    let sum: u32 = instance.bytes().map(u32::from).sum();
-    let octets = [127, 0, (sum / 250) as u8, (sum % 250) as u8 + 1];
+    let byte_sum: u32 = instance.bytes().map(u32::from).sum();
+    let octets = [127, 0, (byte_sum / 250) as u8, (byte_sum % 250) as u8 + 1];
     wire_membership::PeerIdentity {
-        instance: instance.parse().expect("it is a name"),
-        data_centre: data_centre.parse().expect("it is a name"),
-        region: region.parse().expect("it is a name"),
+        instance: instance.parse().expect("the name is valid"),
+        data_centre: data_centre.parse().expect("the name is valid"),
+        region: region.parse().expect("the name is valid"),
         address: SocketAddr::from((octets, 7000)),
         operators: None,
         is_control: false,
@@ -125,11 +126,11 @@
     }
 }
 
-/// A ready target.
+/// Returns the record of a ready target.
 pub fn target(name: &str, service: &str, slots: u32) -> wire_membership::TargetRecord {
     wire_membership::TargetRecord {
-        name: name.parse().expect("it is a name"),
-        service: service.parse().expect("it is a name"),
+        name: name.parse().expect("the name is valid"),
+        service: service.parse().expect("the name is valid"),
         address: SocketAddr::from(([127, 0, 0, 1], 8000)),
         slots,
         connections: 100,
@@ -139,14 +140,14 @@
     }
 }
 
-/// An offer of a call of cost 1 to a target of service `registru`, with 5 s left.
+/// Returns the offer of a call of cost 1 to a target of service `registru`, with 5 s left.
 pub fn offer(target: &str, owner: &str, class: &str) -> wire::CallOffer {
     wire::CallOffer {
-        target: target.parse().expect("it is a name"),
-        route: "lookup".parse().expect("it is a name"),
-        service: "registru".parse().expect("it is a name"),
-        owner: owner.parse().expect("it is a name"),
-        class: class.parse().expect("it is a name"),
+        target: target.parse().expect("the name is valid"),
+        route: "lookup".parse().expect("the name is valid"),
+        service: "registru".parse().expect("the name is valid"),
+        owner: owner.parse().expect("the name is valid"),
+        class: class.parse().expect("the name is valid"),
         cost: 1,
         deadline_left_ms: 5000,
         first_byte_ms: 2000,
@@ -160,7 +161,7 @@
     }
 }
 
-/// A caller's `GET` of a path.
+/// Returns the arrival of a caller's `GET` request.
 pub fn arrival(call: u64, path: &str) -> calls::CallArrival {
     calls::CallArrival {
         call: ids::CallId(call),
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -1,7 +1,7 @@
-//! A TCP proxy that injects faults, by the address that a connection comes from.
+//! TCP proxy that injects faults into connections, selected by their source address.
 //!
-//! Each process of a test has a loopback address of its own and sends from it, so a rule for one
-//! source cuts one direction of one pair and nothing else.
+//! Each process of a test has its own loopback address and connects from it. A rule for one source
+//! therefore affects only the connections from that process to the process behind the proxy.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -20,55 +20,56 @@
     time,
 };
 
-/// What happens to a connection.
+/// What the proxy does with a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultRule {
-    /// It passes.
+    /// Forwards everything.
     Pass,
-    /// It is closed, and new ones are closed at once.
+    /// Closes the connection, and new ones immediately.
     Cut,
-    /// It stays open, and nothing passes: half-open silence.
+    /// Keeps the connection open without forwarding anything, like a half-open connection.
     Silent,
-    /// Each piece waits this long.
+    /// Delays each chunk by this time.
     Delay(Duration),
-    /// At most this many bytes pass in each direction, then it is closed.
+    /// Forwards at most this many bytes in each direction, then closes the connection.
     CutAfter(usize),
-    /// At most this many bytes a second pass in each direction.
+    /// Forwards at most this many bytes per second in each direction.
     Throttle(usize),
 }
 
 #[derive(Debug, Clone)]
-struct RuleBook {
+struct SourceRules {
     default: FaultRule,
     by_source: IndexMap<IpAddr, FaultRule>,
 }
 
-impl RuleBook {
+impl SourceRules {
     fn rule(&self, source: IpAddr) -> FaultRule {
         self.by_source.get(&source).copied().unwrap_or(self.default)
     }
 }
 
-/// A proxy in front of one listener.
+/// Proxy in front of one listener.
 #[derive(Debug, Clone)]
 pub struct FaultProxy {
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub address: SocketAddr,
     upstream: Arc<watch::Sender<Option<SocketAddr>>>,
-    rules: Arc<watch::Sender<RuleBook>>,
+    rules: Arc<watch::Sender<SourceRules>>,
 }
 
-const PIECE_BYTES: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 impl FaultProxy {
-    /// Starts a proxy on a free port of an address; it has no upstream yet.
+    /// Starts a proxy on a free port of an address. Connections are closed until an upstream is
+    /// set.
     pub async fn start(listen: IpAddr) -> Self {
         let listener = TcpListener::bind(SocketAddr::new(listen, 0)).await;
         let listener = listener.expect("every loopback address has a free port");
         let address = listener
             .local_addr()
             .expect("a bound listener has an address");
-        let rules = RuleBook {
+        let rules = SourceRules {
             default: FaultRule::Pass,
             by_source: IndexMap::new(),
         };
@@ -81,14 +82,14 @@
         proxy
     }
 
-    /// Sets where connections go.
-    pub fn point_at(&self, upstream: SocketAddr) {
+    /// Sets the address that connections are forwarded to.
+    pub fn set_upstream(&self, upstream: SocketAddr) {
         self.upstream.send_replace(Some(upstream));
     }
 
-    /// Sets the rule for every source and forgets those for single ones.
+    /// Sets the rule for all sources and removes the rules for single sources.
     pub fn set_all(&self, rule: FaultRule) {
-        self.rules.send_replace(RuleBook {
+        self.rules.send_replace(SourceRules {
             default: rule,
             by_source: IndexMap::new(),
         });
@@ -96,18 +97,18 @@
 
     /// Sets the rule for one source.
     pub fn set_source(&self, source: IpAddr, rule: FaultRule) {
-        self.rules.send_modify(|book| {
-            book.by_source.insert(source, rule);
+        self.rules.send_modify(|source_rules| {
+            source_rules.by_source.insert(source, rule);
         });
     }
 
     async fn serve(self, listener: TcpListener) {
         while let Ok((stream, from)) = listener.accept().await {
-            tokio::spawn(self.clone().carry(stream, from.ip()));
+            tokio::spawn(self.clone().forward(stream, from.ip()));
         }
     }
 
-    async fn carry(self, near: TcpStream, source: IpAddr) {
+    async fn forward(self, downstream: TcpStream, source: IpAddr) {
         let mut rules = self.rules.subscribe();
         if rules.borrow_and_update().rule(source) == FaultRule::Cut {
             return;
@@ -115,63 +116,67 @@
         let Some(upstream) = *self.upstream.borrow() else {
             return;
         };
-        let Ok(far) = TcpStream::connect(upstream).await else {
+        let Ok(upstream_stream) = TcpStream::connect(upstream).await else {
             return;
         };
-        drop(near.set_nodelay(true));
-        drop(far.set_nodelay(true));
-        let (near_read, near_write) = near.into_split();
-        let (far_read, far_write) = far.into_split();
-        let there = pump(near_read, far_write, rules.clone(), source);
-        let back = pump(far_read, near_write, rules.clone(), source);
+        drop(downstream.set_nodelay(true));
+        drop(upstream_stream.set_nodelay(true));
+        let (downstream_read, downstream_write) = downstream.into_split();
+        let (upstream_read, upstream_write) = upstream_stream.into_split();
+        let outbound = copy(downstream_read, upstream_write, rules.clone(), source);
+        let inbound = copy(upstream_read, downstream_write, rules.clone(), source);
         tokio::select! {
-            () = async { tokio::join!(there, back); } => {}
-            () = until_cut(rules, source) => {}
+            () = async { tokio::join!(outbound, inbound); } => {}
+            () = wait_for_cut(rules, source) => {}
         }
     }
 }
 
-async fn until_cut(mut rules: watch::Receiver<RuleBook>, source: IpAddr) {
-    let is_cut = |book: &RuleBook| book.rule(source) == FaultRule::Cut;
+async fn wait_for_cut(mut rules: watch::Receiver<SourceRules>, source: IpAddr) {
+    let is_cut = |source_rules: &SourceRules| source_rules.rule(source) == FaultRule::Cut;
     drop(rules.wait_for(is_cut).await);
 }
 
-async fn pump(
+async fn copy(
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
-    mut rules: watch::Receiver<RuleBook>,
+    mut rules: watch::Receiver<SourceRules>,
     source: IpAddr,
 ) {
-    let mut piece = vec![0; PIECE_BYTES];
-    let mut passed = 0;
+    let mut chunk = vec![0; CHUNK_BYTES];
+    let mut forwarded = 0;
     loop {
-        let Ok(count) = reader.read(&mut piece).await else {
+        let Ok(read_bytes) = reader.read(&mut chunk).await else {
             return;
         };
-        let not_silent = |book: &RuleBook| book.rule(source) != FaultRule::Silent;
+        let is_not_silent =
+            |source_rules: &SourceRules| source_rules.rule(source) != FaultRule::Silent;
         let Ok(rule) = rules
-            .wait_for(not_silent)
+            .wait_for(is_not_silent)
             .await
-            .map(|book| book.rule(source))
+            .map(|source_rules| source_rules.rule(source))
         else {
             return;
         };
-        if count == 0 {
+        if read_bytes == 0 {
             drop(writer.shutdown().await);
             return;
         }
-        let mut allowed = count;
+        let mut allowed = read_bytes;
         match rule {
             FaultRule::Delay(delay) => time::sleep(delay).await,
-            FaultRule::Throttle(rate) => {
-                time::sleep(Duration::from_secs_f64(count as f64 / rate as f64)).await;
+            FaultRule::Throttle(bytes_per_second) => {
+                time::sleep(Duration::from_secs_f64(
+                    read_bytes as f64 / bytes_per_second as f64,
+                ))
+                .await;
             }
-            FaultRule::CutAfter(limit) => allowed = count.min(limit.saturating_sub(passed)),
+            FaultRule::CutAfter(limit) => allowed = read_bytes.min(limit.saturating_sub(forwarded)),
             FaultRule::Cut => return,
             FaultRule::Pass | FaultRule::Silent => {}
         }
-        passed += allowed;
-        if writer.write_all(&piece[..allowed]).await.is_err() || allowed < count {
+        forwarded += allowed;
+        if writer.write_all(&chunk[..allowed]).await.is_err() || allowed < read_bytes {
             return;
         }
     }
--- a/crates/testkit/src/reducers.rs
+++ b/crates/testkit/src/reducers.rs
@@ -1,7 +1,8 @@
-//! A fleet of reducers on a network of messages with faults, in virtual time from a fixed seed.
+//! Simulated fleet of reducers on a message network with faults, in virtual time from a fixed seed.
 //!
-//! It checks after every step what must always hold: no version falls at any node, also over its
-//! restarts, and no route points at a service that the same catalogue lacks.
+//! Whenever a process puts a version into force, the simulation checks two invariants: the version
+//! of a process never decreases, not even after a restart, and every route of the catalogue refers
+//! to a service of the same catalogue.
 
 use std::{
     cmp::Reverse,
@@ -19,32 +20,36 @@
 use rand_chacha::ChaCha8Rng;
 
 const TICK_MICROS: u64 = 20_000;
-const NEAR_MICROS: u64 = 200;
-const FAR_MICROS: u64 = 1_500;
+/// One-way latency within a data centre.
+const LOCAL_LATENCY_MICROS: u64 = 200;
+/// One-way latency between data centres.
+const REMOTE_LATENCY_MICROS: u64 = 1_500;
 const FIRST_INCARNATION: u64 = 1_000_000;
 const PORT: u16 = 7000;
 
-/// What is done to the messages between two processes.
-pub type LinkFault = Box<dyn Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool>;
+/// Predicate over sender and receiver that selects the messages to be dropped.
+pub type LinkFilter = Box<dyn Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool>;
 
-/// Frames and bytes by reason.
-pub type ReasonBytes = IndexMap<message::ByteReason, (u64, u64)>;
+/// Number of frames and bytes by reason.
+pub type ByteCounts = IndexMap<message::ByteReason, (u64, u64)>;
 
-/// One reducer.
+/// Simulated process with one reducer.
 pub struct SimulatedProcess {
-    /// Its state.
+    /// State of the reducer.
     pub state: reducer::EngineState,
-    /// Whether it runs.
+    /// Whether the process is running.
     pub is_running: bool,
-    /// What it has sent since the counts were cleared.
-    pub sent: ReasonBytes,
-    /// Largest message of gossip that it sent, in bytes.
+    /// What it has sent since the counts were last cleared.
+    pub sent: ByteCounts,
+    /// Size of the largest gossip message that it has sent.
     pub largest_gossip_bytes: u64,
-    /// When it first had each version in force.
+    /// Latest time at which it put each version into force.
     pub in_force_at: IndexMap<ids::CatalogueVersion, Duration>,
-    highest: ids::CatalogueVersion,
+    highest_version: ids::CatalogueVersion,
+    /// Number of events that it has handled, apart from ticks, since the counts were last cleared.
     events: u64,
-    life: u64,
+    /// Number of its current start, unique in the fleet.
+    start_number: u64,
 }
 
 enum Delivery {
@@ -56,7 +61,8 @@
     at: u64,
     order: u64,
     to: SocketAddr,
-    life: Option<u64>,
+    /// Start of the process that it is meant for; `None` for any.
+    start_number: Option<u64>,
     delivery: Delivery,
 }
 
@@ -80,29 +86,31 @@
     }
 }
 
-/// A fleet of reducers.
+/// Simulated fleet of reducers.
 pub struct ReducerFleet {
-    /// The processes by name.
+    /// Processes by name.
     pub processes: IndexMap<String, SimulatedProcess>,
-    /// The catalogue that the control group has accepted.
+    /// Latest catalogue that the control group has accepted.
     pub accepted: catalogue_state::CatalogueState,
-    /// Tunables of processes that start.
+    /// Tunables of processes that are started.
     pub tunables: settings::EngineTunables,
-    /// Share of messages that are lost.
+    /// Probability that a message is lost.
     pub loss_rate: f64,
-    /// Share of messages that come twice.
+    /// Probability that a message is delivered twice.
     pub duplication_rate: f64,
     /// Whether frames are encoded and counted.
     pub counts_bytes: bool,
     names: IndexMap<SocketAddr, String>,
     controls: Vec<SocketAddr>,
-    cut: LinkFault,
+    drop_filter: LinkFilter,
     queue: BinaryHeap<Reverse<QueuedDelivery>>,
-    last_on_link: IndexMap<(SocketAddr, SocketAddr), u64>,
+    /// Time of the last delivery on each link, which later messages do not overtake.
+    last_delivery: IndexMap<(SocketAddr, SocketAddr), u64>,
     random: ChaCha8Rng,
+    /// Time since the start of the simulation, in microseconds.
     now: u64,
     order: u64,
-    starts: u64,
+    start_count: u64,
 }
 
 impl std::fmt::Debug for ReducerFleet {
@@ -118,7 +126,7 @@
 }
 
 impl ReducerFleet {
-    /// A fleet with controls as `(name, data centre)`, all running.
+    /// Creates a fleet of running controls, given as `(name, data centre)`.
     pub fn new(seed: u64, tunables: settings::EngineTunables, controls: &[(&str, &str)]) -> Self {
         let mut fleet = Self {
             processes: IndexMap::new(),
@@ -129,13 +137,13 @@
             counts_bytes: false,
             names: IndexMap::new(),
             controls: Vec::new(),
-            cut: Box::new(|_, _| false),
+            drop_filter: Box::new(|_, _| false),
             queue: BinaryHeap::new(),
-            last_on_link: IndexMap::new(),
+            last_delivery: IndexMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             order: 0,
-            starts: 0,
+            start_count: 0,
         };
         fleet.controls = (0..controls.len()).map(address).collect();
         for (name, centre) in controls {
@@ -149,7 +157,7 @@
         self.add(name, centre, false);
     }
 
-    /// Adds nodes to a data centre, named after it, and starts them; returns their names.
+    /// Adds nodes to a data centre and starts them; returns their names, `{centre}-{index}`.
     pub fn add_nodes(&mut self, centre: &str, count: usize) -> Vec<String> {
         let names: Vec<String> = (0..count)
             .map(|index| format!("{centre}-{index}"))
@@ -163,9 +171,9 @@
     fn add(&mut self, name: &str, centre: &str, is_control: bool) {
         let address = address(self.processes.len());
         let identity = membership::PeerIdentity {
-            instance: name.parse().expect("tests give names"),
-            data_centre: centre.parse().expect("tests give names"),
-            region: "ro-centru".parse().expect("it is a name"),
+            instance: name.parse().expect("the name is valid"),
+            data_centre: centre.parse().expect("the name is valid"),
+            region: "ro-centru".parse().expect("the name is valid"),
             address,
             operators: None,
             is_control,
@@ -173,48 +181,54 @@
             incarnation: ids::IncarnationNumber::default(),
         };
         let process = SimulatedProcess {
-            state: self.fresh_state(identity),
+            state: self.new_state(identity),
             is_running: false,
             sent: IndexMap::new(),
             largest_gossip_bytes: 0,
             in_force_at: IndexMap::new(),
-            highest: ids::CatalogueVersion::default(),
+            highest_version: ids::CatalogueVersion::default(),
             events: 0,
-            life: 0,
+            start_number: 0,
         };
         self.processes.insert(name.into(), process);
         self.names.insert(address, name.into());
         self.start(name);
     }
 
-    fn fresh_state(&mut self, mut identity: membership::PeerIdentity) -> reducer::EngineState {
-        self.starts += 1;
+    fn new_state(&mut self, mut identity: membership::PeerIdentity) -> reducer::EngineState {
+        self.start_count += 1;
         let started = FIRST_INCARNATION + self.now / 1000;
         identity.incarnation = ids::IncarnationNumber(started);
         let settings = settings::EngineSettings {
             identity,
             control: self.controls.clone(),
-            seed: self.starts,
+            seed: self.start_count,
             tunables: self.tunables.clone(),
         };
         reducer::EngineState::new(settings, None)
     }
 
-    /// Starts a process without memory; a control holds what was accepted.
+    /// Starts a process without its former state. A control starts with the latest accepted
+    /// catalogue.
     pub fn start(&mut self, name: &str) {
         let identity = self.process(name).state.settings.identity.clone();
-        let mut state = self.fresh_state(identity);
+        let mut state = self.new_state(identity);
         if state.settings.identity.is_control {
             state.dissemination.in_force = std::sync::Arc::new(self.accepted.clone());
         }
-        let phase = self.random.random_range(0..TICK_MICROS);
-        let life = self.starts;
+        let tick_offset = self.random.random_range(0..TICK_MICROS);
+        let start_number = self.start_count;
         let to = state.settings.identity.address;
         let process = self.process(name);
         process.state = state;
         process.is_running = true;
-        process.life = life;
-        self.queue_at(self.now + phase, to, Some(life), Delivery::Tick);
+        process.start_number = start_number;
+        self.queue_at(
+            self.now + tick_offset,
+            to,
+            Some(start_number),
+            Delivery::Tick,
+        );
     }
 
     /// Kills a process.
@@ -222,13 +236,13 @@
         self.process(name).is_running = false;
     }
 
-    /// One process.
+    /// Returns a process.
     pub fn process(&mut self, name: &str) -> &mut SimulatedProcess {
         let process = self.processes.get_mut(name);
-        process.expect("tests name their own processes")
+        process.expect("the process exists")
     }
 
-    /// Names of the nodes that run.
+    /// Returns the names of the running nodes.
     pub fn running_nodes(&self) -> Vec<String> {
         let is_node = |process: &SimulatedProcess| {
             process.is_running && process.state.settings.identity.is_node
@@ -240,20 +254,21 @@
             .collect()
     }
 
-    /// Sets which messages are swallowed, by sender and receiver; the links seem to stay open.
+    /// Sets which messages are dropped, by sender and receiver. The links appear to stay open.
     pub fn drop_messages(
         &mut self,
-        cut: impl Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool + 'static,
+        filter: impl Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool + 'static,
     ) {
-        self.cut = Box::new(cut);
+        self.drop_filter = Box::new(filter);
     }
 
-    /// Time since the fleet began.
+    /// Returns the time since the start of the simulation.
     pub fn now(&self) -> Duration {
         Duration::from_micros(self.now)
     }
 
-    /// Has the control group accept a change; `controls` learn of it.
+    /// Accepts a change on behalf of the control group and informs `controls` of it; returns the
+    /// new version.
     pub fn accept(&mut self, set: change::ChangeSet, controls: &[&str]) -> ids::CatalogueVersion {
         let term = ids::LeaderTerm(1);
         self.accepted = self
@@ -278,13 +293,13 @@
         self.accepted.version
     }
 
-    /// Gives a process an event now.
+    /// Delivers an event to a process at the current time.
     pub fn inject(&mut self, name: &str, event: event::Event) {
         let to = self.process(name).state.settings.identity.address;
         self.queue_at(self.now, to, None, Delivery::Event(Box::new(event)));
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span.as_micros() as u64;
         while let Some(Reverse(next)) = self.queue.peek()
@@ -299,9 +314,10 @@
         self.now = end;
     }
 
-    /// Lets time pass until something holds, at most `longest`; whether it came to hold.
-    pub fn run_until(&mut self, longest: Duration, holds: impl Fn(&Self) -> bool) -> bool {
-        let end = self.now() + longest;
+    /// Runs the simulation until a condition holds, for at most `timeout`; returns whether it
+    /// holds.
+    pub fn run_until(&mut self, timeout: Duration, holds: impl Fn(&Self) -> bool) -> bool {
+        let end = self.now() + timeout;
         while !holds(self) {
             if self.now() >= end {
                 return false;
@@ -311,7 +327,7 @@
         true
     }
 
-    /// Whether some processes have the last accepted version in force.
+    /// Returns whether all given processes have the latest accepted version in force.
     pub fn has_converged(&self, names: &[String]) -> bool {
         let version = self.accepted.version;
         names
@@ -319,7 +335,7 @@
             .all(|name| self.processes[name].state.dissemination.version() == version)
     }
 
-    /// Forgets what was sent so far.
+    /// Resets the counts of sent bytes and handled events.
     pub fn clear_counts(&mut self) {
         for process in self.processes.values_mut() {
             process.sent.clear();
@@ -327,24 +343,24 @@
         }
     }
 
-    /// Bytes that a process has sent.
+    /// Returns the number of bytes that a process has sent.
     pub fn sent_bytes(&self, name: &str) -> u64 {
         let sent = self.processes[name].sent.values();
         sent.map(|(_, bytes)| bytes).sum()
     }
 
-    /// Events that a process has taken, ticks aside.
+    /// Returns the number of events that a process has handled, apart from ticks.
     pub fn events(&self, name: &str) -> u64 {
         self.processes[name].events
     }
 
-    fn queue_at(&mut self, at: u64, to: SocketAddr, life: Option<u64>, delivery: Delivery) {
+    fn queue_at(&mut self, at: u64, to: SocketAddr, start_number: Option<u64>, delivery: Delivery) {
         self.order += 1;
         let queued = QueuedDelivery {
             at,
             order: self.order,
             to,
-            life,
+            start_number,
             delivery,
         };
         self.queue.push(Reverse(queued));
@@ -354,14 +370,16 @@
         let name = self.names[&queued.to].clone();
         let now = time::MonotonicTime(self.now);
         let process = &mut self.processes[&name];
-        let is_old = queued.life.is_some_and(|life| life != process.life);
-        if !process.is_running || is_old {
+        let is_stale = queued
+            .start_number
+            .is_some_and(|start_number| start_number != process.start_number);
+        if !process.is_running || is_stale {
             return;
         }
         let event = match queued.delivery {
             Delivery::Tick => {
                 let next = self.now + TICK_MICROS;
-                self.queue_at(next, queued.to, queued.life, Delivery::Tick);
+                self.queue_at(next, queued.to, queued.start_number, Delivery::Tick);
                 event::Event::Tick
             }
             Delivery::Event(event) => {
@@ -379,33 +397,37 @@
         match effect {
             event::Effect::Send { to, message } => self.send(name, to, message),
             event::Effect::Dissemination(dissemination::DisseminationEffect::InForce { state }) => {
-                self.check(name, &state);
+                self.check_invariants(name, &state);
             }
             _ => {}
         }
     }
 
-    fn check(&mut self, name: &str, state: &catalogue_state::CatalogueState) {
+    fn check_invariants(&mut self, name: &str, state: &catalogue_state::CatalogueState) {
         let now = self.now();
         let process = self.process(name);
         assert!(
-            state.version >= process.highest,
-            "{name} fell from version {} to {}",
-            process.highest,
+            state.version >= process.highest_version,
+            "{name} went back from version {} to {}",
+            process.highest_version,
             state.version
         );
-        process.highest = state.version;
+        process.highest_version = state.version;
         process.in_force_at.insert(state.version, now);
         for route in state.routes() {
             let service = state.service(&route.service);
-            assert!(service.is_some(), "{name}: route {} dangles", route.name);
+            assert!(
+                service.is_some(),
+                "{name}: the service of route {} is missing",
+                route.name
+            );
         }
     }
 
     fn send(&mut self, from: &str, to: SocketAddr, message: message::PeerMessage) {
         let sender = self.processes[from].state.settings.identity.clone();
         if self.counts_bytes {
-            self.count(from, &message);
+            self.count_bytes(from, &message);
         }
         let Some(receiver) = self.names.get(&to).map(|name| &self.processes[name]) else {
             return;
@@ -416,15 +438,15 @@
             let delivery = Delivery::Event(Box::new(event));
             return self.queue_at(self.now + 2 * latency, sender.address, None, delivery);
         }
-        let is_cut = (self.cut)(&sender, &receiver.state.settings.identity);
-        if is_cut || self.random.random_bool(self.loss_rate) {
+        let is_dropped = (self.drop_filter)(&sender, &receiver.state.settings.identity);
+        if is_dropped || self.random.random_bool(self.loss_rate) {
             return;
         }
-        let times = 1 + u32::from(self.random.random_bool(self.duplication_rate));
-        for _ in 0..times {
-            let last = self.last_on_link.get(&(sender.address, to)).copied();
+        let copies = 1 + u32::from(self.random.random_bool(self.duplication_rate));
+        for _ in 0..copies {
+            let last = self.last_delivery.get(&(sender.address, to)).copied();
             let at = (self.now + latency).max(last.unwrap_or(0));
-            self.last_on_link.insert((sender.address, to), at);
+            self.last_delivery.insert((sender.address, to), at);
             let event = event::Event::Received {
                 from: sender.clone(),
                 message: message.clone(),
@@ -433,7 +455,7 @@
         }
     }
 
-    fn count(&mut self, from: &str, message: &message::PeerMessage) {
+    fn count_bytes(&mut self, from: &str, message: &message::PeerMessage) {
         let reason = message.reason();
         let frame = message::PeerFrame {
             clock: message::HybridTime {
@@ -444,9 +466,9 @@
         };
         let bytes = codec::encode_frame(&frame).len() as u64;
         let process = self.process(from);
-        let (frames, sum) = process.sent.entry(reason).or_default();
+        let (frames, total_bytes) = process.sent.entry(reason).or_default();
         *frames += 1;
-        *sum += bytes;
+        *total_bytes += bytes;
         if reason == message::ByteReason::Gossip {
             process.largest_gossip_bytes = process.largest_gossip_bytes.max(bytes);
         }
@@ -455,13 +477,13 @@
 
 fn latency_between(from: &membership::PeerIdentity, to: &membership::PeerIdentity) -> u64 {
     if from.data_centre == to.data_centre {
-        NEAR_MICROS
+        LOCAL_LATENCY_MICROS
     } else {
-        FAR_MICROS
+        REMOTE_LATENCY_MICROS
     }
 }
 
-/// Names of processes that are cut off from all others.
+/// Returns a filter for [`ReducerFleet::drop_messages`] that isolates processes from all others.
 pub fn isolated(
     names: &[&str],
 ) -> impl Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool + use<> {
--- a/crates/testkit/src/rollouts.rs
+++ b/crates/testkit/src/rollouts.rs
@@ -1,8 +1,9 @@
-//! A roll-out of a version of known quality, judged on seeded runs: arithmetic on one clock.
+//! Simulated roll-outs of versions of known quality, in virtual time from a seed.
 //!
-//! Two versions of one service run the same mix of calls on machines of different speed, while
-//! machines of both turn slow or fail and calls that runs make fail for all. What the judge and the
-//! plan make of it is the outcome.
+//! Two versions of one service run the same mix of calls on machines of different speeds. As
+//! disturbances, machines of both versions become slow or fail for a time, and the calls that runs
+//! make fail for both versions. The simulation feeds the runs to the judge under test and follows
+//! the steps of the roll-out plan.
 
 use std::time::Duration;
 
@@ -13,121 +14,124 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Time between two looks of the judge.
-const LOOK: Duration = Duration::from_millis(250);
-/// Time from a decision until it is in force everywhere.
-const CONVERGENCE: Duration = Duration::from_millis(500);
-/// Speeds of machines.
-const SPEEDS: [f64; 3] = [0.6, 1.0, 1.4];
-/// Largest share of the calls on trial.
-const TRIAL_SHARE: f64 = 0.06;
-/// Groups that the new version's targets other than canaries are judged in.
+/// Time between two evaluations of the judge.
+const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
+/// Time from a decision until it is in force on all nodes.
+const CONVERGENCE_TIME: Duration = Duration::from_millis(500);
+/// Relative speeds of machines.
+const MACHINE_SPEEDS: [f64; 3] = [0.6, 1.0, 1.4];
+/// Maximum share of calls that go to the new version during the trial.
+const MAX_TRIAL_SHARE: f64 = 0.06;
+/// Number of groups in which the new version's targets are judged, apart from the canaries.
 const RESERVE_GROUPS: u64 = 4;
 
-/// What is wrong with the new version.
+/// Fault of the new version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It fails.
+    /// Its runs fail.
     Errors,
-    /// It is eight times as slow.
+    /// Its runs take eight times as long.
     Slow,
-    /// It fails on one route.
+    /// Its runs fail on one route.
     OneRoute,
-    /// It fails some seconds after its start.
+    /// Its runs fail from 3 s after the order.
     Late,
-    /// It fails at targets that have as many calls as an old one.
+    /// Its runs fail on canaries, which receive as many calls as a target of the old version.
     UnderLoad,
 }
 
-/// A roll-out to play.
+/// Settings of a simulated roll-out.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutScenario {
-    /// Seed of everything random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What is wrong with the new version.
+    /// Fault of the new version.
     pub fault: VersionFault,
-    /// Share of its runs that show it.
+    /// Probability that a run which can show the fault does so.
     pub fault_share: f64,
-    /// Targets of each version.
+    /// Number of targets of each version.
     pub targets: usize,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Time from the order to its limit.
+    /// Time limit of the roll-out.
     pub within: Duration,
-    /// Whether machines of both versions turn slow or fail, and calls of runs fail for all.
+    /// Whether machines of both versions become slow or fail, and calls of runs fail, for a time.
     pub has_disturbances: bool,
 }
 
-/// What became of it.
+/// Outcome of a simulated roll-out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutOutcome {
-    /// Its last phase.
+    /// Last phase.
     pub phase: rollout::RolloutPhase,
-    /// When it came to it, after the order.
+    /// Time from the order to the start of the last phase.
     pub at: Duration,
-    /// Runs of the service up to the limit, and those of them at the new version.
+    /// Number of runs of both versions within the time limit.
     pub runs: u64,
-    /// Runs at the new version.
+    /// Number of runs of the new version.
     pub new_version_runs: u64,
-    /// Those of them with the fault.
+    /// Number of runs of the new version that show its fault.
     pub faulty_runs: u64,
 }
 
-/// A route of the mix.
+/// Route of the mix of calls.
 #[derive(Debug, Clone, Copy)]
-struct SceneRoute {
+struct SimulatedRoute {
     name: &'static str,
     share: f64,
     mean_ms: f64,
-    spread: f64,
+    sigma: f64,
 }
 
-const ROUTES: [SceneRoute; 2] = [
-    SceneRoute {
+const ROUTES: [SimulatedRoute; 2] = [
+    SimulatedRoute {
         name: "lookup",
         share: 0.47,
         mean_ms: 160.0,
-        spread: 0.8,
+        sigma: 0.8,
     },
-    SceneRoute {
+    SimulatedRoute {
         name: "issue",
         share: 0.53,
         mean_ms: 210.0,
-        spread: 0.5,
+        sigma: 0.5,
     },
 ];
 
-/// A machine with its troubles.
+/// Machine with its disturbances, as spans in seconds after the order.
 #[derive(Debug, Clone, Copy)]
-struct SceneMachine {
+struct SimulatedMachine {
     speed: f64,
-    fails: Option<(f64, f64)>,
-    slows: Option<(f64, f64)>,
+    failing: Option<(f64, f64)>,
+    slow: Option<(f64, f64)>,
 }
 
-struct ScenePlay<'a> {
-    scene: RolloutScenario,
+struct RolloutSimulation<'a> {
+    scenario: RolloutScenario,
     judge: &'a mut dyn verdict::VersionJudge,
     random: ChaCha8Rng,
-    present: Vec<SceneMachine>,
-    coming: Vec<SceneMachine>,
-    /// Time in which calls that runs make fail.
-    storm: Option<(f64, f64)>,
-    names: [ids::EntryName; 2],
+    old_machines: Vec<SimulatedMachine>,
+    new_machines: Vec<SimulatedMachine>,
+    /// Span in which calls that runs make fail, in seconds after the order.
+    dependency_outage: Option<(f64, f64)>,
+    route_names: [ids::EntryName; 2],
     outcome: RolloutOutcome,
 }
 
-/// Plays a scene before a judge.
-pub fn simulate(scene: RolloutScenario, judge: &mut dyn verdict::VersionJudge) -> RolloutOutcome {
-    let mut random = ChaCha8Rng::seed_from_u64(scene.seed);
-    let mut machines = || -> Vec<SceneMachine> {
-        let machine = |_| SceneMachine::draw(&scene, &mut random);
-        (0..scene.targets).map(machine).collect()
+/// Simulates a roll-out with a judge.
+pub fn simulate(
+    scenario: RolloutScenario,
+    judge: &mut dyn verdict::VersionJudge,
+) -> RolloutOutcome {
+    let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
+    let mut machines = || -> Vec<SimulatedMachine> {
+        let machine = |_| SimulatedMachine::draw(&scenario, &mut random);
+        (0..scenario.targets).map(machine).collect()
     };
-    let (present, coming) = (machines(), machines());
-    let storm = draw_trouble(&scene, &mut random, 0.5);
+    let (old_machines, new_machines) = (machines(), machines());
+    let dependency_outage = draw_disturbance(&scenario, &mut random, 0.5);
     let outcome = RolloutOutcome {
         phase: rollout::RolloutPhase::Trial,
         at: Duration::ZERO,
@@ -135,59 +139,59 @@
         new_version_runs: 0,
         faulty_runs: 0,
     };
-    let play = ScenePlay {
-        scene,
+    let simulation = RolloutSimulation {
+        scenario,
         judge,
         random,
-        present,
-        coming,
-        storm,
-        names: ROUTES.map(|route| route.name.parse().expect("it is a name")),
+        old_machines,
+        new_machines,
+        dependency_outage,
+        route_names: ROUTES.map(|route| route.name.parse().expect("the name is valid")),
         outcome,
     };
-    play.run()
+    simulation.run()
 }
 
-/// A span of some seconds within the scene, with a probability.
-fn draw_trouble(
-    scene: &RolloutScenario,
+/// Draws the span of a disturbance, in seconds, with a probability.
+fn draw_disturbance(
+    scenario: &RolloutScenario,
     random: &mut ChaCha8Rng,
-    share: f64,
+    probability: f64,
 ) -> Option<(f64, f64)> {
-    let is_drawn = random.random_bool(share);
-    let begin = random.random_range(0.0..scene.within.as_secs_f64());
-    (scene.has_disturbances && is_drawn).then_some((begin, begin + 6.5))
+    let is_drawn = random.random_bool(probability);
+    let begin = random.random_range(0.0..scenario.within.as_secs_f64());
+    (scenario.has_disturbances && is_drawn).then_some((begin, begin + 6.5))
 }
 
-fn holds(span: Option<(f64, f64)>, at: f64) -> bool {
+fn contains(span: Option<(f64, f64)>, at: f64) -> bool {
     span.is_some_and(|(begin, end)| (begin..end).contains(&at))
 }
 
-impl SceneMachine {
-    fn draw(scene: &RolloutScenario, random: &mut ChaCha8Rng) -> Self {
+impl SimulatedMachine {
+    fn draw(scenario: &RolloutScenario, random: &mut ChaCha8Rng) -> Self {
         Self {
-            speed: SPEEDS[random.random_range(0..SPEEDS.len())],
-            fails: draw_trouble(scene, random, 0.14),
-            slows: draw_trouble(scene, random, 0.16),
+            speed: MACHINE_SPEEDS[random.random_range(0..MACHINE_SPEEDS.len())],
+            failing: draw_disturbance(scenario, random, 0.14),
+            slow: draw_disturbance(scenario, random, 0.16),
         }
     }
 }
 
-impl ScenePlay<'_> {
+impl RolloutSimulation<'_> {
     fn run(mut self) -> RolloutOutcome {
-        let within = self.scene.within;
+        let within = self.scenario.within;
         let mut now = Duration::ZERO;
         let mut phase = rollout::RolloutPhase::Trial;
-        let mut in_force = (phase, Duration::ZERO);
+        let mut last_step = (phase, Duration::ZERO);
         let mut share = 0.0;
         let mut observed = plan::ObservedRuns::default();
         while now < within {
-            now += LOOK;
-            let is_in_force = now >= in_force.1 + CONVERGENCE;
+            now += EVALUATION_PERIOD;
+            let is_in_force = now >= last_step.1 + CONVERGENCE_TIME;
             if is_in_force {
-                share = self.share(in_force.0);
+                share = self.share(last_step.0);
             }
-            let window = self.window(now, share, in_force.0);
+            let window = self.window(now, share, last_step.0);
             if !phase.is_running() {
                 continue;
             }
@@ -199,34 +203,34 @@
                 share,
                 within,
                 elapsed: Some(now),
-                time_in_phase: now.saturating_sub(in_force.1),
+                time_in_phase: now.saturating_sub(last_step.1),
                 finding: self.judge.finding(),
                 observed,
                 slots: cohort::SlotCount {
-                    old: self.scene.targets as u32,
-                    new: self.scene.targets as u32,
+                    old: self.scenario.targets as u32,
+                    new: self.scenario.targets as u32,
                 },
-                known_nodes: 2 * self.scene.targets,
+                known_nodes: 2 * self.scenario.targets,
                 nodes_behind: usize::from(!is_in_force),
                 old_in_flight: 0,
             };
             if let Some(step) = plan::next_step(&situation) {
                 phase = step.phase;
-                in_force = (phase, now);
+                last_step = (phase, now);
                 (self.outcome.phase, self.outcome.at) = (phase, now);
             }
         }
         self.outcome
     }
 
-    /// Share of the calls that the new version gets in a phase.
+    /// Returns the share of calls that go to the new version in a phase.
     fn share(&self, phase: rollout::RolloutPhase) -> f64 {
-        let targets = self.scene.targets as f64;
-        let canaries = cohort::canary_count(self.scene.targets) as f64;
+        let targets = self.scenario.targets as f64;
+        let canaries = cohort::canary_count(self.scenario.targets) as f64;
         match phase {
             rollout::RolloutPhase::Trial => {
-                let most = canaries / (targets + canaries) / cohort::CANARY_TRIAL_SHARE;
-                most.min(TRIAL_SHARE)
+                let canary_share = canaries / (targets + canaries) / cohort::CANARY_TRIAL_SHARE;
+                canary_share.min(MAX_TRIAL_SHARE)
             }
             rollout::RolloutPhase::Widening => 0.3,
             rollout::RolloutPhase::Switched | rollout::RolloutPhase::Succeeded => 1.0,
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Runs of one look.
+    /// Returns the runs of one evaluation period.
     fn window(
         &mut self,
         now: Duration,
@@ -242,35 +246,40 @@
         phase: rollout::RolloutPhase,
     ) -> verdict::RunWindow {
         let mut window = verdict::RunWindow {
-            span: LOOK,
-            canaries: cohort::canary_count(self.scene.targets),
+            span: EVALUATION_PERIOD,
+            canaries: cohort::canary_count(self.scenario.targets),
             ..verdict::RunWindow::default()
         };
-        let calls = self.scene.rate * LOOK.as_secs_f64();
+        let calls = self.scenario.rate * EVALUATION_PERIOD.as_secs_f64();
         let calls = calls.floor() as u64 + u64::from(self.random.random_bool(calls.fract()));
-        let canaries = cohort::canary_count(self.scene.targets);
+        let canaries = cohort::canary_count(self.scenario.targets);
         let is_trial = phase == rollout::RolloutPhase::Trial;
         for _ in 0..calls {
             let is_first = self.random.random_bool(ROUTES[0].share);
-            let place_of_route = usize::from(!is_first);
-            let route = ROUTES[place_of_route];
+            let route_index = usize::from(!is_first);
+            let route = ROUTES[route_index];
             let is_new = self.random.random_bool(share);
-            let place = if is_new && is_trial && self.random.random_bool(cohort::CANARY_TRIAL_SHARE)
-            {
-                self.random.random_range(0..canaries)
-            } else {
-                self.random.random_range(0..self.scene.targets)
-            };
-            let is_canary = is_new && place < canaries;
-            let counts = self.one_run(now.as_secs_f64(), route, is_new.then_some(is_canary), place);
-            let name = &self.names[place_of_route];
+            let target_index =
+                if is_new && is_trial && self.random.random_bool(cohort::CANARY_TRIAL_SHARE) {
+                    self.random.random_range(0..canaries)
+                } else {
+                    self.random.random_range(0..self.scenario.targets)
+                };
+            let is_canary = is_new && target_index < canaries;
+            let counts = self.simulate_run(
+                now.as_secs_f64(),
+                route,
+                is_new.then_some(is_canary),
+                target_index,
+            );
+            let name = &self.route_names[route_index];
             self.outcome.runs += 1;
             if is_new {
                 self.outcome.new_version_runs += 1;
                 let group = if is_canary {
-                    place as u64
+                    target_index as u64
                 } else {
-                    canaries as u64 + place as u64 % RESERVE_GROUPS
+                    canaries as u64 + target_index as u64 % RESERVE_GROUPS
                 };
                 window.record_new_version(group, name, &counts);
             } else {
@@ -280,55 +289,57 @@
         window
     }
 
-    /// A run at a machine; `is_canary` is there for one of the new version.
-    fn one_run(
+    /// Simulates a run on a machine. `is_canary` is `None` for the old version.
+    fn simulate_run(
         &mut self,
         at: f64,
-        route: SceneRoute,
+        route: SimulatedRoute,
         is_canary: Option<bool>,
-        place: usize,
+        target_index: usize,
     ) -> verdict::RunCounts {
         let machine = match is_canary {
-            Some(_) => self.coming[place],
-            None => self.present[place],
+            Some(_) => self.new_machines[target_index],
+            None => self.old_machines[target_index],
         };
-        let is_bad = is_canary.is_some_and(|is_canary| self.shows_fault(at, route, is_canary));
-        self.outcome.faulty_runs += u64::from(is_bad);
-        let is_slow = is_bad && self.scene.fault == VersionFault::Slow;
-        let has_failed = is_bad && !is_slow
-            || holds(machine.fails, at) && self.random.random_bool(0.4)
-            || route.name == "lookup" && holds(self.storm, at) && self.random.random_bool(0.3);
-        let mut millis = route.mean_ms / machine.speed * self.log_normal(route.spread);
+        let is_faulty = is_canary.is_some_and(|is_canary| self.shows_fault(at, route, is_canary));
+        self.outcome.faulty_runs += u64::from(is_faulty);
+        let is_slow = is_faulty && self.scenario.fault == VersionFault::Slow;
+        let has_failed = is_faulty && !is_slow
+            || contains(machine.failing, at) && self.random.random_bool(0.4)
+            || route.name == "lookup"
+                && contains(self.dependency_outage, at)
+                && self.random.random_bool(0.3);
+        let mut run_ms = route.mean_ms / machine.speed * self.log_normal(route.sigma);
         if is_slow {
-            millis *= 8.0;
+            run_ms *= 8.0;
         }
-        if holds(machine.slows, at) {
-            millis *= 5.0;
+        if contains(machine.slow, at) {
+            run_ms *= 5.0;
         }
         let mut counts = verdict::RunCounts {
             answered: 1.0,
             failed: f64::from(u8::from(has_failed)),
             ..verdict::RunCounts::default()
         };
-        counts.times[wire::time_class(Duration::from_secs_f64(millis / 1e3))] = 1.0;
+        counts.times[wire::time_class(Duration::from_secs_f64(run_ms / 1e3))] = 1.0;
         counts
     }
 
-    fn shows_fault(&mut self, at: f64, route: SceneRoute, is_canary: bool) -> bool {
-        let can_show = match self.scene.fault {
+    fn shows_fault(&mut self, at: f64, route: SimulatedRoute, is_canary: bool) -> bool {
+        let can_show = match self.scenario.fault {
             VersionFault::None => false,
             VersionFault::Errors | VersionFault::Slow => true,
             VersionFault::OneRoute => route.name == "issue",
             VersionFault::Late => at >= 3.0,
             VersionFault::UnderLoad => is_canary,
         };
-        can_show && self.random.random_bool(self.scene.fault_share)
+        can_show && self.random.random_bool(self.scenario.fault_share)
     }
 
-    /// A factor of mean one.
-    fn log_normal(&mut self, spread: f64) -> f64 {
-        // The sum of twelve uniform draws is close enough to normal.
+    /// Returns a log-normally distributed factor with mean 1.
+    fn log_normal(&mut self, sigma: f64) -> f64 {
+        // The sum of twelve uniform variables approximates a normal variable of variance 1.
         let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
-        (normal * spread - spread * spread / 2.0).exp()
+        (normal * sigma - sigma * sigma / 2.0).exp()
     }
 }
--- a/crates/testkit/src/wait.rs
+++ b/crates/testkit/src/wait.rs
@@ -1,27 +1,27 @@
-//! Waiting for a state with a generous bound, so that no verdict depends on the machine's speed.
+//! Polling for a condition, with a time-out long enough that slow machines cause no failures.
 
 use std::time::Duration;
 
 use tokio::time;
 
-/// After this long a state is taken never to come.
+/// Time after which [`until`] fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Asks again and again until there is an answer.
+/// Polls `poll` until it returns a value, and returns that value.
 ///
 /// # Panics
 ///
-/// When there is none within [`WAIT_TIMEOUT`].
-pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, mut ask: impl FnMut() -> F) -> T {
-    let asking = async {
+/// Panics with `what` if there is no value within [`WAIT_TIMEOUT`].
+pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, mut poll: impl FnMut() -> F) -> T {
+    let polling = async {
         loop {
-            if let Some(answer) = ask().await {
-                return answer;
+            if let Some(value) = poll().await {
+                return value;
             }
             time::sleep(POLL_PERIOD).await;
         }
     };
-    let answer = time::timeout(WAIT_TIMEOUT, asking).await.ok();
-    answer.unwrap_or_else(|| panic!("waited in vain: {what}"))
+    let value = time::timeout(WAIT_TIMEOUT, polling).await.ok();
+    value.unwrap_or_else(|| panic!("timed out waiting for: {what}"))
 }
