--- a/benches/balancing.rs
+++ b/benches/balancing.rs
@@ -1,6 +1,7 @@
-//! Choice of targets: latency with one slow target, by policy, and the reducer's time for a call.
+//! Load balancing: latency with one slow target, by balancing policy, and processor time of the
+//! reducer per call.
 //!
-//! `cargo bench --bench balancing` prints a line of JSON for each figure.
+//! Run with `cargo bench --bench balancing`; prints one JSON line per result.
 
 use std::time::{Duration, Instant};
 
@@ -9,14 +10,19 @@
 use hazeltiller_units::ids;
 use serde_json::{Value, json};
 
+/// Slots of each target.
 const SLOTS: u32 = 10;
 const TARGETS: usize = 10;
-const FAST: Duration = Duration::from_millis(10);
-const SLOW: Duration = Duration::from_millis(50);
-/// Calls a second that all targets together can run: nine fast ones and the slow one.
+/// Mean run time at all targets but one.
+const FAST_RUN_TIME: Duration = Duration::from_millis(10);
+/// Mean run time at the slow target.
+const SLOW_RUN_TIME: Duration = Duration::from_millis(50);
+/// Calls per second that all targets can run: nine fast ones and the slow one.
 const CAPACITY: f64 = 9.0 * 1000.0 + 200.0;
-const LINK: Duration = Duration::from_micros(250);
-const SPAN: Duration = Duration::from_secs(10);
+/// One-way latency between nodes.
+const LINK_LATENCY: Duration = Duration::from_micros(250);
+/// Time for which callers send calls.
+const LOAD_TIME: Duration = Duration::from_secs(10);
 
 fn main() {
     if !std::env::args().any(|argument| argument == "--bench") {
@@ -29,7 +35,7 @@
             }
         }
     }
-    time_calls();
+    measure_reducer();
 }
 
 fn entries() -> Value {
@@ -43,7 +49,7 @@
     ])
 }
 
-/// One load and seed, the same arrivals for each policy.
+/// Measures all policies at one load, with the same arrivals.
 fn compare_policies(load: f64, ingresses: usize, seed: u64) {
     let policies = [
         ("p2c with reports", model::BalancingPolicy::Reducer, 1000),
@@ -59,12 +65,16 @@
             1000,
         ),
     ];
-    for (name, policy, half_life_ms) in policies {
+    for (policy_name, policy, half_life_ms) in policies {
         let target = |number| model::ModelTarget {
             service_name: "registru",
             slots: SLOTS,
             announced_slots: SLOTS,
-            mean_run_time: if number == 0 { SLOW } else { FAST },
+            mean_run_time: if number == 0 {
+                SLOW_RUN_TIME
+            } else {
+                FAST_RUN_TIME
+            },
             queue_capacity: 0,
             is_broken: false,
         };
@@ -73,7 +83,7 @@
             ingresses,
             targets: (0..TARGETS).map(target).collect(),
             entries: entries(),
-            link: LINK,
+            link: LINK_LATENCY,
             policy,
         };
         let mut model = model::CallModel::new(settings).with_ingresses(|ingress| {
@@ -81,17 +91,19 @@
             tunables.load_half_life_ms = half_life_ms;
         });
         let kind = model::CallKind::plain("/", CAPACITY * load);
-        let count = model.run(&[kind], SPAN).remove(0);
-        let figure = json!({"bench": "balancing", "policy": name, "load": load, "ingresses": ingresses, "seed": seed,
-            "sent": count.sent, "good": count.good,
-            "p50_ms": count.latency_quantile(0.5) as f64 / 1000.0,
-            "p99_ms": count.latency_quantile(0.99) as f64 / 1000.0});
-        println!("{figure}");
+        let stats = model.run(&[kind], LOAD_TIME).remove(0);
+        let line = json!({"bench": "balancing", "policy": policy_name, "load": load,
+            "ingresses": ingresses, "seed": seed,
+            "sent": stats.sent, "good": stats.good,
+            "p50_ms": stats.latency_quantile(0.5) as f64 / 1000.0,
+            "p99_ms": stats.latency_quantile(0.99) as f64 / 1000.0});
+        println!("{line}");
     }
 }
 
-/// The reducer's time for a call at the size to design for: 1,400 nodes, 56 services, 40 routes each.
-fn time_calls() {
+/// Measures the reducer's processor time per call at the size that the system is designed for:
+/// 1,400 nodes and 56 services with 40 routes each.
+fn measure_reducer() {
     const NODES: usize = 1400;
     const SERVICES: usize = 56;
     const ROUTES: usize = 40;
@@ -123,8 +135,8 @@
         };
         let identity = node::identity(&format!("node-{number}"), &data_centre, region);
         let service = format!("service-{}", number % SERVICES);
-        let target = node::target(&format!("target-{number}"), &service, 10);
-        node.receive_record(&identity, 1, vec![target]);
+        let record = node::target(&format!("target-{number}"), &service, 10);
+        node.receive_record(&identity, 1, vec![record]);
     }
     node.announce(node::target("own", "service-0", 10));
     let began = Instant::now();
@@ -149,25 +161,25 @@
         });
         node.call(calls::CallEvent::Finished(call));
     }
-    let ingress = began.elapsed();
+    let ingress_time = began.elapsed();
     let began = Instant::now();
     for number in CALLS..2 * CALLS {
         let call = ids::CallId(number);
         let mut offer = node::offer("own", "registru", "counter");
-        offer.service = "service-0".parse().expect("it is a name");
+        offer.service = "service-0".parse().expect("the name is valid");
         node.now = node.now + Duration::from_micros(2400);
         node.call(calls::CallEvent::Offered { call, offer });
         let result = calls::RunResult::Done { status: 200 };
         node.call(calls::CallEvent::RunEnded { call, result });
     }
-    let owner = began.elapsed();
-    let per_call = (ingress + owner).as_secs_f64() / CALLS as f64;
-    let events = 5.0 * CALLS as f64 / (ingress + owner).as_secs_f64();
-    let figure = json!({"bench": "reducer_calls", "nodes": NODES, "services": SERVICES,
+    let owner_time = began.elapsed();
+    let seconds_per_call = (ingress_time + owner_time).as_secs_f64() / CALLS as f64;
+    let events = 5.0 * CALLS as f64 / (ingress_time + owner_time).as_secs_f64();
+    let line = json!({"bench": "reducer_calls", "nodes": NODES, "services": SERVICES,
         "routes": SERVICES * ROUTES, "events_per_s": events as u64,
-        "ingress_us": ingress.as_secs_f64() * 1e6 / CALLS as f64,
-        "owner_us": owner.as_secs_f64() * 1e6 / CALLS as f64,
-        // 65,000 calls a second, 9 deep, over 1,400 nodes.
-        "core_percent_at_418_per_s": per_call * 418.0 * 100.0});
-    println!("{figure}");
+        "ingress_us": ingress_time.as_secs_f64() * 1e6 / CALLS as f64,
+        "owner_us": owner_time.as_secs_f64() * 1e6 / CALLS as f64,
+        // 65,000 requests per second with call chains of depth 9, over 1,400 nodes.
+        "core_percent_at_418_per_s": seconds_per_call * 418.0 * 100.0});
+    println!("{line}");
 }
--- a/benches/calls.rs
+++ b/benches/calls.rs
@@ -1,8 +1,8 @@
-//! What the system adds to a call: the same open loop straight to a target, through its own node
-//! and through another node, in turn.
+//! Latency that the system adds to calls, under open-loop load: directly to a target, through the
+//! target's owner node and through another node, in alternating rounds.
 //!
-//! Run with `cargo bench --bench calls`; prints one JSON line a figure. Also what a noted event of
-//! the time line, a counted event of the reducer and a scrape cost.
+//! Run with `cargo bench --bench calls`; prints one JSON line per result. Also measures the cost of
+//! recording a timeline event and of counting an event of the reducer.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,42 +18,44 @@
 use serde_json::json;
 
 const ROUNDS: usize = 3;
+/// Calls per second.
 const RATES: [f64; 2] = [200.0, 1000.0];
-const SECONDS: u64 = 3;
-const NOTES: u32 = 200_000;
+/// Duration of a round, in seconds.
+const ROUND_SECONDS: u64 = 3;
+const RECORDED_EVENTS: u32 = 200_000;
 
 fn main() {
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
-    measure_notes();
-    let runtime = tokio::runtime::Runtime::new().expect("the system gives threads");
+    measure_recording();
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime can be started");
     runtime.block_on(measure_calls());
 }
 
-fn measure_notes() {
-    let instance = "node-1".parse().expect("it is a name");
+fn measure_recording() {
+    let instance = "node-1".parse().expect("the name is valid");
     let tunables = engine_settings::TimelineTunables::default();
     let timeline = timeline::Timeline::new(instance, timeline::HybridClock::default(), &tunables);
-    let request: hazeltiller_units::ids::RequestId = "0-1".parse().expect("it is a name");
+    let request: hazeltiller_units::ids::RequestId = "0-1".parse().expect("the name is valid");
     let began = std::time::Instant::now();
-    for _ in 0..NOTES {
+    for _ in 0..RECORDED_EVENTS {
         timeline.note(engine_timeline::TimelineEvent::CallAnswered {
             request: request.clone(),
             status: 200,
             took_us: 1,
         });
     }
-    let note_ns = began.elapsed().as_nanos() / u128::from(NOTES);
+    let record_ns = began.elapsed().as_nanos() / u128::from(RECORDED_EVENTS);
     let metrics = metrics::ProcessMetrics::default();
     let began = std::time::Instant::now();
-    for _ in 0..NOTES {
+    for _ in 0..RECORDED_EVENTS {
         metrics.note_event(Duration::from_micros(1));
     }
-    let count_ns = began.elapsed().as_nanos() / u128::from(NOTES);
+    let count_ns = began.elapsed().as_nanos() / u128::from(RECORDED_EVENTS);
     println!(
         "{}",
-        json!({"bench": "seeing", "note_ns": note_ns as u64, "count_ns": count_ns as u64})
+        json!({"bench": "seeing", "note_ns": record_ns as u64, "count_ns": count_ns as u64})
     );
 }
 
@@ -77,39 +79,45 @@
     })
     .await;
     let node = fleet.instance("node-2").addresses["target"];
-    let name = "registru-1".parse().expect("it is a name");
-    let service = "registru".parse().expect("it is a name");
-    let standin = standin_settings::StandInSettings::builder(name, service, node).slots(100);
-    let target = target::StandInTarget::start(standin.build()).await;
+    let name = "registru-1".parse().expect("the name is valid");
+    let service = "registru".parse().expect("the name is valid");
+    let settings = standin_settings::StandInSettings::builder(name, service, node).slots(100);
+    let target = target::StandInTarget::start(settings.build()).await;
     let target = target.expect("loopback has a free port");
     for node in ["node-1", "node-2"] {
-        wait::until("an answer", || async {
+        wait::until("a successful response", || async {
             let request = Request::get("/vehicles/1").body(Full::default()).ok()?;
             let response = fleet.send_request(node, "callers", request).await?;
             response.status().is_success().then_some(())
         })
         .await;
     }
-    let ways = [
+    let paths = [
         ("direct", target.address),
         ("own_node", fleet.instance("node-2").addresses["callers"]),
         ("other_node", fleet.instance("node-1").addresses["callers"]),
     ];
     for rate in RATES {
         for round in 0..ROUNDS {
-            for (way, address) in ways {
-                measure_way(way, address, rate, round, target.address).await;
+            for (path, address) in paths {
+                measure_path(path, address, rate, round, target.address).await;
             }
         }
     }
 }
 
-async fn measure_way(way: &str, address: SocketAddr, rate: f64, round: usize, target: SocketAddr) {
+async fn measure_path(
+    path: &str,
+    address: SocketAddr,
+    rate: f64,
+    round: usize,
+    target: SocketAddr,
+) {
     let kind = mix::RequestKind::get("/vehicles/{n}");
-    let mix = mix::LoadMix::new(vec![kind]).expect("its one kind has a weight");
+    let mix = mix::LoadMix::new(vec![kind]).expect("its only kind has a weight");
     let settings = settings::LoadSettings::builder(vec![address], mix)
         .rate(rate)
-        .duration(Duration::from_secs(SECONDS))
+        .duration(Duration::from_secs(ROUND_SECONDS))
         .seed(round as u64)
         .stand_ins(vec![target])
         .build();
@@ -117,7 +125,7 @@
     let class = &report.classes["all"];
     println!(
         "{}",
-        json!({"bench": "calls", "way": way, "rate": rate, "round": round, "sent": report.sent,
+        json!({"bench": "calls", "way": path, "rate": rate, "round": round, "sent": report.sent,
                "answered": report.answered, "p50_ms": class.p50_ms, "p99_ms": class.p99_ms,
                "clean": report.verdict.is_clean()})
     );
--- a/benches/dissemination.rs
+++ b/benches/dissemination.rs
@@ -1,9 +1,10 @@
-//! Ways to bring the catalogue to the nodes, weighed: convergence time and control bytes.
+//! Comparison of dissemination topologies for the catalogue: convergence time and control traffic.
 //!
-//! `cargo bench --bench dissemination` prints one JSON line a figure; words after `--` choose
-//! parts: `ways`, `faults`, `knob`, `slope`, `codec`, `memory`, `live`. The first four run reducers on a fake
-//! network in virtual time (0.2 ms within a data centre, 1.5 ms between two) and count encoded
-//! frames; `live` runs whole processes over loopback.
+//! Run with `cargo bench --bench dissemination`; prints one JSON line per result. Words after `--`
+//! select parts: `ways`, `faults`, `knob`, `slope`, `codec`, `memory`, `live`. The first four run
+//! reducers on a simulated network in virtual time, with latencies of 0.2 ms within a data centre
+//! and 1.5 ms between two, and count the bytes of encoded frames. `live` runs control and node
+//! instances over loopback.
 
 #[path = "dissemination/codec.rs"]
 mod codec;
@@ -14,10 +15,10 @@
 
 use serde_json::json;
 
-/// Sizes of the fleets, in nodes.
+/// Numbers of nodes.
 const SIZES: [usize; 4] = [10, 50, 100, 200];
-/// Ways, as the heads a data centre and the fan-out that make them.
-const WAYS: [(&str, u64, u64); 7] = [
+/// Topologies, with the number of heads per data centre and the fan-out that configure them.
+const TOPOLOGIES: [(&str, u64, u64); 7] = [
     ("star", 4096, 0),
     ("relay-2", 2, 2),
     ("relay-4", 4, 4),
@@ -32,58 +33,65 @@
     if !arguments.iter().any(|argument| argument == "--bench") {
         return;
     }
-    let words: Vec<&String> = arguments
+    let selected_parts: Vec<&String> = arguments
         .iter()
         .filter(|word| !word.starts_with('-'))
         .collect();
-    let wants = |part: &str| words.is_empty() || words.iter().any(|word| *word == part);
-    if wants("memory") {
-        // First, and best alone: the heap that others leave behind would be used again.
+    let is_selected =
+        |part: &str| selected_parts.is_empty() || selected_parts.iter().any(|word| *word == part);
+    if is_selected("memory") {
+        // Must run first, and is most accurate alone: reuse of memory freed by other parts would
+        // distort the result.
         virtual_fleet::measure_record_memory();
     }
-    if wants("codec") {
+    if is_selected("codec") {
         codec::measure();
     }
-    if wants("ways") {
-        for (way, heads, fan_out) in WAYS {
+    if is_selected("ways") {
+        for (topology, heads, fan_out) in TOPOLOGIES {
             for nodes in SIZES {
-                virtual_fleet::measure_way(way, virtual_fleet::tunables(heads, fan_out), nodes);
+                virtual_fleet::measure_topology(
+                    topology,
+                    virtual_fleet::tunables(heads, fan_out),
+                    nodes,
+                );
             }
         }
     }
-    if wants("faults") {
-        for (way, heads, fan_out) in WAYS {
-            virtual_fleet::measure_faults(way, virtual_fleet::tunables(heads, fan_out), 200);
+    if is_selected("faults") {
+        for (topology, heads, fan_out) in TOPOLOGIES {
+            virtual_fleet::measure_faults(topology, virtual_fleet::tunables(heads, fan_out), 200);
         }
     }
-    if wants("knob") {
+    if is_selected("knob") {
         for fan_out in [2, 4, 8, 16] {
             for keepalive_ms in [250, 500, 1000, 2000, 4000] {
-                virtual_fleet::measure_knob(fan_out, keepalive_ms);
+                virtual_fleet::measure_keepalive(fan_out, keepalive_ms);
             }
         }
     }
-    if wants("slope") {
+    if is_selected("slope") {
         for nodes in [100, 200, 400, 700, 1400] {
-            virtual_fleet::measure_slope(nodes);
+            virtual_fleet::measure_scaling(nodes);
         }
     }
-    if wants("live") {
+    if is_selected("live") {
         for nodes in [10, 50, 100, 200] {
             live::measure(nodes);
         }
     }
 }
 
-/// Prints one figure.
-fn print(what: &str, figure: serde_json::Value) {
+/// Prints one result.
+fn print(what: &str, result: serde_json::Value) {
     let mut line = json!({"bench": "dissemination", "what": what});
-    let all = line.as_object_mut().expect("it was made as an object");
-    all.extend(figure.as_object().expect("figures are objects").clone());
+    let fields = line.as_object_mut().expect("it is a JSON object");
+    fields.extend(result.as_object().expect("results are objects").clone());
     println!("{line}");
 }
 
-/// The value that a share of the values does not exceed.
+/// Returns the smallest value that is at least as large as a share of the values; NaN if there are
+/// none.
 fn percentile(sorted: &[f64], share: f64) -> f64 {
     let index = (sorted.len() as f64 * share).ceil() as usize;
     sorted
--- a/benches/dissemination/codec.rs
+++ b/benches/dissemination/codec.rs
@@ -1,4 +1,4 @@
-//! Codecs for what travels often: bytes, and time to encode and decode.
+//! Comparison of codecs for frequent messages: encoded size, and time to encode and decode.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -9,65 +9,71 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::json;
 
-const TURNS: u32 = 2000;
+/// Repetitions of each measurement.
+const REPETITIONS: u32 = 2000;
 const COMPRESSION_LEVEL: i32 = 1;
-const LARGEST: usize = 16 << 20;
+const MAX_DECODED_BYTES: usize = 16 << 20;
 
-/// Measures each codec with each message.
+/// Measures every codec with every message.
 pub(crate) fn measure() {
-    let (delta, snapshot) = versions();
-    let down = message::PeerMessage::Dissemination;
-    let delta = down(dissemination::DisseminationMessage::Delta(delta));
-    time_codecs("delta of one change", &delta);
+    let (delta, snapshot) = delta_and_snapshot();
+    let dissemination_message = message::PeerMessage::Dissemination;
+    let delta = dissemination_message(dissemination::DisseminationMessage::Delta(delta));
+    measure_codecs("delta of one change", &delta);
     let entries: Vec<entry::CatalogueEntry> = snapshot.entries.values().cloned().collect();
-    time_codecs("snapshot of 183 entries", &entries);
-    let keepalive = down(dissemination::DisseminationMessage::Keepalive(report()));
-    time_codecs("keepalive", &keepalive);
-    let around = message::PeerMessage::Membership;
-    let probe = around(membership::MembershipMessage::Probe(gossip(Vec::new())));
-    time_codecs("probe", &probe);
-    let rumour = around(membership::MembershipMessage::Rumour(gossip(vec![record(
-        117,
-    )])));
-    time_codecs("rumour of one record", &rumour);
-    let page = (0..64).map(record).collect();
-    let page = around(membership::MembershipMessage::Records(page));
-    time_codecs("page of 64 records", &page);
+    measure_codecs("snapshot of 183 entries", &entries);
+    let keepalive = dissemination_message(dissemination::DisseminationMessage::Keepalive(
+        child_report(),
+    ));
+    measure_codecs("keepalive", &keepalive);
+    let membership_message = message::PeerMessage::Membership;
+    let probe = membership_message(membership::MembershipMessage::Probe(gossip_message(
+        Vec::new(),
+    )));
+    measure_codecs("probe", &probe);
+    let rumour = membership_message(membership::MembershipMessage::Rumour(gossip_message(vec![
+        member_record(117),
+    ])));
+    measure_codecs("rumour of one record", &rumour);
+    let page = (0..64).map(member_record).collect();
+    let page = membership_message(membership::MembershipMessage::Records(page));
+    measure_codecs("page of 64 records", &page);
 }
 
-fn time_codecs<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
+fn measure_codecs<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     let postcard = |value: &T| postcard::to_stdvec(value).expect("messages can be encoded");
     let json = |value: &T| serde_json::to_vec(value).expect("messages can be encoded");
     let from_postcard =
-        |bytes: &[u8]| -> T { postcard::from_bytes(bytes).expect("it was encoded") };
-    let from_json = |bytes: &[u8]| -> T { serde_json::from_slice(bytes).expect("it was encoded") };
-    time_codec(name, "postcard", value, postcard, from_postcard);
-    time_codec(
+        |bytes: &[u8]| -> T { postcard::from_bytes(bytes).expect("the bytes were just encoded") };
+    let from_json =
+        |bytes: &[u8]| -> T { serde_json::from_slice(bytes).expect("the bytes were just encoded") };
+    measure_codec(name, "postcard", value, postcard, from_postcard);
+    measure_codec(
         name,
         "postcard+zstd",
         value,
         |value| compress(&postcard(value)),
-        |bytes| from_postcard(&expand(bytes)),
+        |bytes| from_postcard(&decompress(bytes)),
     );
-    time_codec(name, "json", value, json, from_json);
-    time_codec(
+    measure_codec(name, "json", value, json, from_json);
+    measure_codec(
         name,
         "json+zstd",
         value,
         |value| compress(&json(value)),
-        |bytes| from_json(&expand(bytes)),
+        |bytes| from_json(&decompress(bytes)),
     );
 }
 
 fn compress(bytes: &[u8]) -> Vec<u8> {
-    zstd::bulk::compress(bytes, COMPRESSION_LEVEL).expect("it fits into memory")
+    zstd::bulk::compress(bytes, COMPRESSION_LEVEL).expect("compression into memory succeeds")
 }
 
-fn expand(bytes: &[u8]) -> Vec<u8> {
-    zstd::bulk::decompress(bytes, LARGEST).expect("it was compressed")
+fn decompress(bytes: &[u8]) -> Vec<u8> {
+    zstd::bulk::decompress(bytes, MAX_DECODED_BYTES).expect("the bytes were just compressed")
 }
 
-fn time_codec<T>(
+fn measure_codec<T>(
     what: &str,
     codec: &str,
     message: &T,
@@ -76,89 +82,89 @@
 ) {
     let bytes = encode(message);
     let began = Instant::now();
-    for _ in 0..TURNS {
+    for _ in 0..REPETITIONS {
         std::hint::black_box(encode(std::hint::black_box(message)));
     }
-    let encoding = began.elapsed();
+    let encoding_time = began.elapsed();
     let began = Instant::now();
-    for _ in 0..TURNS {
+    for _ in 0..REPETITIONS {
         std::hint::black_box(decode(std::hint::black_box(&bytes)));
     }
-    let decoding = began.elapsed();
+    let decoding_time = began.elapsed();
     super::print(
         "codec",
         json!({
             "message": what, "codec": codec, "bytes": bytes.len(),
-            "encode_us": encoding.as_secs_f64() * 1e6 / f64::from(TURNS),
-            "decode_us": decoding.as_secs_f64() * 1e6 / f64::from(TURNS),
+            "encode_us": encoding_time.as_secs_f64() * 1e6 / f64::from(REPETITIONS),
+            "decode_us": decoding_time.as_secs_f64() * 1e6 / f64::from(REPETITIONS),
         }),
     );
 }
 
-fn versions() -> (delta::CatalogueDelta, state::CatalogueState) {
+fn delta_and_snapshot() -> (delta::CatalogueDelta, state::CatalogueState) {
     let term = ids::LeaderTerm(1);
-    let mut held = state::CatalogueState::default();
+    let mut base = state::CatalogueState::default();
     for set in [
         entries::base(),
         entries::generated(56),
         entries::put_routed_services(&["registru"]),
     ] {
-        held = held.apply(&set, term).expect("the change is valid");
+        base = base.apply(&set, term).expect("the change is valid");
     }
     let set = entries::put_slots("registru", 12);
-    let reached = held.apply(&set, term).expect("the change is valid");
+    let updated = base.apply(&set, term).expect("the change is valid");
     let delta = delta::CatalogueDelta {
-        base: held.version,
+        base: base.version,
         steps: vec![delta::DeltaStep { term, set }],
-        digest: reached.digest,
+        digest: updated.digest,
     };
-    (delta, reached)
+    (delta, updated)
 }
 
-fn mark() -> membership::ShortMark {
+fn short_mark() -> membership::ShortMark {
     membership::ShortMark {
         version: ids::CatalogueVersion(2000),
         digest: membership::ShortDigest(7 << 40),
     }
 }
 
-fn report() -> dissemination::ChildReport {
+fn child_report() -> dissemination::ChildReport {
     let subtree = dissemination::SubtreeReport {
         floor: ids::CatalogueVersion(2000),
         fingerprint: membership::ShortDigest(9 << 40),
         roster: None,
     };
     dissemination::ChildReport {
-        held: mark(),
+        held: short_mark(),
         subtree,
     }
 }
 
-fn gossip(records: Vec<membership::MemberRecord>) -> membership::GossipMessage {
+fn gossip_message(records: Vec<membership::MemberRecord>) -> membership::GossipMessage {
     let age = |centre: u32| membership::CentreAge {
         centre: centre << 20,
         age_ms: 300,
     };
     membership::GossipMessage {
         table: membership::ShortDigest(5 << 40),
-        held: mark(),
+        held: short_mark(),
         ages: (0..6).map(age).collect(),
         records,
         suspicions: Vec::new(),
     }
 }
 
-/// A record of a node with one target.
-pub(crate) fn record(index: u8) -> membership::MemberRecord {
+/// Returns the record of a node with one target.
+pub(crate) fn member_record(index: u8) -> membership::MemberRecord {
     let name = |text: &str| text.to_owned();
     let address = SocketAddr::from(([10, 1, 2, index], 7001));
     membership::MemberRecord {
         identity: membership::PeerIdentity {
             instance: name(&format!("registru-brasov-a-{index}"))
                 .parse()
-                .expect("it is a name"),
-            data_centre: name("brasov-a").parse().expect("it is a name"),
-            region: name("ro-centru").parse().expect("it is a name"),
+                .expect("the name is valid"),
+            data_centre: name("brasov-a").parse().expect("the name is valid"),
+            region: name("ro-centru").parse().expect("the name is valid"),
             address,
             operators: None,
             is_control: false,
@@ -170,8 +176,8 @@
         targets: vec![membership::TargetRecord {
             name: name(&format!("registru-brasov-a-{index}-t"))
                 .parse()
-                .expect("it is a name"),
-            service: name("registru").parse().expect("it is a name"),
+                .expect("the name is valid"),
+            service: name("registru").parse().expect("the name is valid"),
             address,
             slots: 10,
             connections: 130,
--- a/benches/goodput.rs
+++ b/benches/goodput.rs
@@ -1,6 +1,7 @@
-//! What is answered in time when more comes than can run, and what second tries cost.
+//! Goodput under overload, with and without admission control, and the cost of retries with and
+//! without a retry budget.
 //!
-//! `cargo bench --bench goodput` prints a line of JSON for each figure.
+//! Run with `cargo bench --bench goodput`; prints one JSON line per result.
 
 use std::time::Duration;
 
@@ -9,16 +10,20 @@
 
 const TARGETS: usize = 7;
 const SLOTS: u32 = 10;
-const SERVICE: Duration = Duration::from_millis(10);
-/// Calls a second that the targets can run.
+/// Mean run time per unit of cost.
+const MEAN_RUN_TIME: Duration = Duration::from_millis(10);
+/// Calls per second that the targets can run.
 const CAPACITY: f64 = 7.0 * 10.0 * 100.0;
 const INGRESSES: usize = 8;
-const LINK: Duration = Duration::from_micros(250);
-const SPAN: Duration = Duration::from_secs(5);
+/// One-way latency between nodes.
+const LINK_LATENCY: Duration = Duration::from_micros(250);
+/// Time for which callers send calls.
+const LOAD_TIME: Duration = Duration::from_secs(5);
+/// Number of slots that disables admission control.
 const UNBOUNDED: u32 = 65_536;
 
-/// Path, share of what is offered, class and owner.
-const MIX: [(&str, f64, &str, &str); 4] = [
+/// Path, share of the offered load, class and owner of each kind of calls.
+const CALL_MIX: [(&str, f64, &str, &str); 4] = [
     ("/lookup", 0.25, "counter", "members"),
     ("/heavy", 0.25, "desk", "registru"),
     ("/light", 0.25, "desk", "rally"),
@@ -58,7 +63,7 @@
         json!({"kind": "service", "name": "registru", "owner": "registru", "class": "desk",
                "limits": {"queue": 20, "slots": UNBOUNDED}}),
     ];
-    for (path, _, class, owner) in MIX {
+    for (path, _, class, owner) in CALL_MIX {
         entries.push(
             json!({"kind": "route", "name": path.trim_start_matches('/'), "owner": owner,
             "class": class, "service": "registru", "match": {"path_prefix": path},
@@ -74,7 +79,7 @@
         ingresses: INGRESSES,
         targets: vec![target; TARGETS],
         entries: entries(tries),
-        link: LINK,
+        link: LINK_LATENCY,
         policy: model::BalancingPolicy::Reducer,
     }
 }
@@ -84,38 +89,38 @@
         service_name: "registru",
         slots: SLOTS,
         announced_slots,
-        mean_run_time: SERVICE,
+        mean_run_time: MEAN_RUN_TIME,
         queue_capacity,
         is_broken: false,
     }
 }
 
-/// One load and seed, the same arrivals for each way.
+/// Measures goodput with and without admission control at one load, with the same arrivals.
 fn compare_admission(load: f64, seed: u64) {
-    let ways = [
+    let variants = [
         ("admission", target(SLOTS, 0)),
         ("none", target(UNBOUNDED, usize::MAX)),
         ("fifo of 20", target(UNBOUNDED, 20)),
     ];
-    for (way, target) in ways {
+    for (variant, target) in variants {
         let mut model = model::CallModel::new(settings(seed, target, 2));
         let kinds =
-            MIX.map(|(path, share, ..)| model::CallKind::plain(path, CAPACITY * load * share));
-        let counts = model.run(&kinds, SPAN);
-        let good: u64 = counts.iter().map(|count| count.good).sum();
-        let mut figure = json!({"bench": "goodput", "way": way, "load": load, "seed": seed,
-            "good_of_capacity": good as f64 / SPAN.as_secs_f64() / CAPACITY});
-        for ((path, ..), count) in MIX.iter().zip(&counts) {
-            figure[*path] = json!({"good_of_sent": count.good as f64 / count.sent as f64,
+            CALL_MIX.map(|(path, share, ..)| model::CallKind::plain(path, CAPACITY * load * share));
+        let stats = model.run(&kinds, LOAD_TIME);
+        let good: u64 = stats.iter().map(|kind_stats| kind_stats.good).sum();
+        let mut line = json!({"bench": "goodput", "way": variant, "load": load, "seed": seed,
+            "good_of_capacity": good as f64 / LOAD_TIME.as_secs_f64() / CAPACITY});
+        for ((path, ..), count) in CALL_MIX.iter().zip(&stats) {
+            line[*path] = json!({"good_of_sent": count.good as f64 / count.sent as f64,
                 "p99_ms": count.latency_quantile(0.99) as f64 / 1000.0});
         }
-        println!("{figure}");
+        println!("{line}");
     }
 }
 
-/// Some targets break every connection for a while, at half the capacity of all.
+/// Measures retries while some targets break every connection, at half the capacity of all.
 fn compare_budgets(broken: usize, seed: u64) {
-    for (way, percent, reserve) in [("budget", 10, 3), ("no budget", 100, 1_000_000_000)] {
+    for (variant, percent, reserve) in [("budget", 10, 3), ("no budget", 100, 1_000_000_000)] {
         let settings = settings(seed, target(SLOTS, 0), 4);
         let mut model = model::CallModel::new(settings).with_ingresses(|ingress| {
             let tunables = &mut ingress.state.settings.tunables.retry;
@@ -123,17 +128,17 @@
             tunables.budget_reserve = reserve;
         });
         let kinds =
-            MIX.map(|(path, share, ..)| model::CallKind::plain(path, CAPACITY * 0.5 * share));
+            CALL_MIX.map(|(path, share, ..)| model::CallKind::plain(path, CAPACITY * 0.5 * share));
         for (phase, broken) in [("before", 0), ("broken", broken), ("after", 0)] {
             model.set_broken(broken);
-            let counts = model.run(&kinds, SPAN);
-            let sum = |part: fn(&model::KindStats) -> u64| counts.iter().map(part).sum::<u64>();
+            let stats = model.run(&kinds, LOAD_TIME);
+            let sum = |field: fn(&model::KindStats) -> u64| stats.iter().map(field).sum::<u64>();
             let sent = sum(|count| count.sent);
-            let figure = json!({"bench": "retries", "way": way, "phase": phase, "seed": seed,
+            let line = json!({"bench": "retries", "way": variant, "phase": phase, "seed": seed,
                 "broken_targets": broken,
                 "tries_per_call": sum(|count| count.tries) as f64 / sent as f64,
                 "good_of_sent": sum(|count| count.good) as f64 / sent as f64});
-            println!("{figure}");
+            println!("{line}");
         }
     }
 }
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -1,6 +1,7 @@
-//! Recovery of a control from its folder by length of the log, and the size of its state.
+//! Recovery of a control from its data folder by length of the log, and the size of the catalogue
+//! in memory and on disk.
 //!
-//! Run with `cargo bench --bench recovery`; prints one JSON line a figure.
+//! Run with `cargo bench --bench recovery`; prints one JSON line per result.
 
 use std::time::Instant;
 
@@ -11,31 +12,37 @@
 use hazeltiller_wire::{codec, replication as wire};
 use serde_json::json;
 
-const LENGTHS: [u64; 3] = [1_000, 10_000, 100_000];
-const SNAPSHOT_AT: u64 = 90_000;
+/// Lengths of the log, in entries.
+const LOG_LENGTHS: [u64; 3] = [1_000, 10_000, 100_000];
+/// Position of the snapshot in the longest log.
+const SNAPSHOT_POSITION: u64 = 90_000;
+/// Size of the catalogue that the system is designed for.
 const SERVICES: u64 = 56;
+/// Routes of each service.
 const ROUTES: u64 = 40;
+/// Copies of the catalogue whose memory is measured.
 const COPIES: usize = 50;
-const BATCH: usize = 1_000;
+/// Entries that are written to the store at a time.
+const BATCH_ENTRIES: usize = 1_000;
 const TERM: ids::LeaderTerm = ids::LeaderTerm(1);
 
 fn main() {
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
-    // First, while no freed memory hides what it takes.
-    measure_size();
-    for length in LENGTHS {
+    // Must run first: reuse of memory freed by other measurements would distort the result.
+    measure_catalogue_size();
+    for length in LOG_LENGTHS {
         measure_recovery(length, None);
     }
-    measure_recovery(LENGTHS[2], Some(SNAPSHOT_AT));
+    measure_recovery(LOG_LENGTHS[2], Some(SNAPSHOT_POSITION));
 }
 
-fn set(put: serde_json::Value) -> change::ChangeSet {
+fn change_set(put: serde_json::Value) -> change::ChangeSet {
     serde_json::from_value(json!({"put": put})).expect("the entries are valid")
 }
 
-/// A whole catalogue of the size to design for.
+/// Returns a change that puts a whole catalogue of the size that the system is designed for.
 fn full_set() -> change::ChangeSet {
     let mut put = vec![
         json!({"kind": "class", "name": "counter", "owner": "registru", "class": "counter"}),
@@ -48,7 +55,7 @@
         );
         put.extend((0..ROUTES).map(|route| route_json(service, route, 5000)));
     }
-    set(json!(put))
+    change_set(json!(put))
 }
 
 fn route_json(service: u64, route: u64, deadline_ms: u64) -> serde_json::Value {
@@ -58,13 +65,14 @@
         "limits": {"deadline_ms": deadline_ms}})
 }
 
-/// Entry `position` of the log: the whole catalogue first, then one route after another.
+/// Returns the log entry at `position`: the first puts the whole catalogue, each later one changes
+/// one route.
 fn entry(position: u64) -> wire::LogEntry {
     let set = if position == 1 {
         full_set()
     } else {
         let route = position % (SERVICES * ROUTES);
-        set(json!([route_json(
+        change_set(json!([route_json(
             route / ROUTES,
             route % ROUTES,
             1 + position % 9000
@@ -74,7 +82,9 @@
         position: ids::LogPosition(position),
         term: TERM,
         payload: wire::LogPayload::Change(wire::LoggedChange {
-            change_id: format!("change-{position}").parse().expect("it is a name"),
+            change_id: format!("change-{position}")
+                .parse()
+                .expect("the name is valid"),
             content: ids::StateDigest([1; 32]),
             accepted_at_ms: position,
             operator: None,
@@ -85,7 +95,7 @@
 }
 
 fn measure_recovery(length: u64, snapshot_at: Option<u64>) {
-    let folder = tempfile::tempdir().expect("a temporary folder can be made");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let hard = wire::HardState {
         replica: ids::ReplicaId(1),
         term: TERM,
@@ -93,14 +103,14 @@
         ..wire::HardState::default()
     };
     let opened = file::FileStore::open(folder.path(), || hard);
-    let (mut store, _, _) = opened.expect("the folder is new");
+    let (mut store, _, _) = opened.expect("a new folder can be opened");
     let entries: Vec<_> = (1..=length).map(entry).collect();
-    for entries in entries.chunks(BATCH) {
+    for entries in entries.chunks(BATCH_ENTRIES) {
         let batch = replication::PersistBatch {
             entries: entries.to_vec(),
             ..replication::PersistBatch::default()
         };
-        store.write(vec![batch]).expect("the disk is well");
+        store.write(vec![batch]).expect("the disk accepts writes");
     }
     if let Some(position) = snapshot_at {
         let mut catalogue = catalogue_state::CatalogueState::default();
@@ -118,7 +128,7 @@
             ..replication::PersistBatch::default()
         };
         let started = Instant::now();
-        store.write(vec![batch]).expect("the disk is well");
+        store.write(vec![batch]).expect("the disk accepts writes");
         let line = json!({"bench": "snapshot_written", "log_entries": length,
             "ms": started.elapsed().as_millis()});
         println!("{line}");
@@ -126,47 +136,47 @@
     drop(store);
     let started = Instant::now();
     let opened = file::FileStore::open(folder.path(), || hard);
-    let (_store, recovered, _) = opened.expect("the folder is whole");
-    let read = started.elapsed();
+    let (_store, recovered, _) = opened.expect("the folder is intact");
+    let read_time = started.elapsed();
     let tunables = settings::ReplicationTunables::default();
     let state = replication::ReplicationState::recover(recovered, &tunables);
-    let took = started.elapsed();
+    let total_time = started.elapsed();
     assert_eq!(
         state.committed().version.0,
         length,
-        "everything is recovered"
+        "recovery restores every version"
     );
     let line = json!({"bench": "recovery", "log_entries": length, "snapshot_at": snapshot_at,
-        "read_ms": read.as_millis(), "total_ms": took.as_millis()});
+        "read_ms": read_time.as_millis(), "total_ms": total_time.as_millis()});
     println!("{line}");
 }
 
-fn measure_size() {
+fn measure_catalogue_size() {
     let mut catalogue = catalogue_state::CatalogueState::default();
     catalogue.advance(&full_set(), TERM);
     let entries = catalogue.entries.len();
     let before = resident_bytes();
     let copies: Vec<_> = (0..COPIES).map(|_| catalogue.clone()).collect();
-    let memory = (resident_bytes() - before) / COPIES as f64;
+    let memory_bytes = (resident_bytes() - before) / COPIES as f64;
     let snapshot = wire::LogSnapshot {
         catalogue,
         ..wire::LogSnapshot::default()
     };
-    let frame = codec::encode_frame(&snapshot).len();
-    let plain = postcard::to_stdvec(&snapshot)
-        .expect("maps know their length")
+    let frame_bytes = codec::encode_frame(&snapshot).len();
+    let encoded_bytes = postcard::to_stdvec(&snapshot)
+        .expect("snapshots can be encoded")
         .len();
     let line = json!({"bench": "state_size", "entries": entries,
-        "memory_bytes_per_entry": (memory / entries as f64).round(),
-        "disk_bytes_per_entry": plain / entries, "snapshot_disk_bytes": plain,
-        "snapshot_frame_bytes": frame});
+        "memory_bytes_per_entry": (memory_bytes / entries as f64).round(),
+        "disk_bytes_per_entry": encoded_bytes / entries, "snapshot_disk_bytes": encoded_bytes,
+        "snapshot_frame_bytes": frame_bytes});
     println!("{line}");
     drop(copies);
 }
 
-/// Memory of this process, by the kernel's accounting.
+/// Returns the resident memory of this process.
 fn resident_bytes() -> f64 {
-    let status = std::fs::read_to_string("/proc/self/status").expect("the kernel tells it");
+    let status = std::fs::read_to_string("/proc/self/status").expect("/proc is readable");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().nth(1));
     let kilobytes: f64 = number
--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -1,8 +1,9 @@
-//! The control group under changes: rate and latency by size of the group, and the time without a
-//! leader after one is killed.
+//! Commit rate and latency of the control group by its size, and its unavailability after the
+//! leader is killed.
 //!
-//! Run with `cargo bench --bench replication`; prints one JSON line a figure. Every control has a
-//! folder on the temporary folder's disk and really syncs; the disk's own sync is measured beside.
+//! Run with `cargo bench --bench replication`; prints one JSON line per result. Every control
+//! stores its log below the system's temporary folder and syncs it to disk; the sync time of that
+//! disk is measured for comparison.
 
 use std::{
     io::Write,
@@ -18,12 +19,16 @@
 use tokio::time;
 
 const GROUP_SIZES: [usize; 3] = [1, 3, 5];
-const ONE_BY_ONE: u64 = 500;
-const PIPELINED: u64 = 5_000;
-const KILLS: usize = 10;
+/// Changes that are proposed one after another.
+const SEQUENTIAL_CHANGES: u64 = 500;
+/// Changes that are proposed concurrently.
+const PIPELINED_CHANGES: u64 = 5_000;
+const LEADER_KILLS: usize = 10;
 const SYNCS: usize = 500;
 const SYNC_BYTES: usize = 512;
+/// Size of the catalogue that the system is designed for.
 const SERVICES: usize = 56;
+/// Routes of each service.
 const ROUTES: usize = 40;
 const CONTROLS: [&str; 3] = ["control-1", "control-2", "control-3"];
 
@@ -31,7 +36,7 @@
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
-    let runtime = tokio::runtime::Runtime::new().expect("the system gives threads");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime can be started");
     measure_disk();
     for size in GROUP_SIZES {
         runtime.block_on(measure_group(size));
@@ -49,12 +54,13 @@
 }
 
 fn measure_disk() {
-    let mut file = tempfile::tempfile().expect("a temporary file can be made");
+    let mut file = tempfile::tempfile().expect("a temporary file can be created");
     let mut times = Vec::new();
     for _ in 0..SYNCS {
         let started = Instant::now();
-        file.write_all(&[1; SYNC_BYTES]).expect("the disk is well");
-        file.sync_data().expect("the disk is well");
+        file.write_all(&[1; SYNC_BYTES])
+            .expect("the disk accepts writes");
+        file.sync_data().expect("the disk accepts writes");
         times.push(started.elapsed());
     }
     times.sort_unstable();
@@ -63,7 +69,7 @@
     println!("{line}");
 }
 
-/// Controls in this process, each with its folder.
+/// Control group that runs in this process, each control with its own data folder.
 struct BenchGroup {
     controls: Vec<process::RunningProcess>,
     _folder: tempfile::TempDir,
@@ -71,15 +77,15 @@
 
 impl BenchGroup {
     async fn start(size: usize) -> Self {
-        let folder = tempfile::tempdir().expect("a temporary folder can be made");
-        let held: Vec<TcpListener> = (0..size)
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
+        let listeners: Vec<TcpListener> = (0..size)
             .map(|_| TcpListener::bind("127.0.0.1:0").expect("loopback has a free port"))
             .collect();
-        let addresses: Vec<SocketAddr> = held
+        let addresses: Vec<SocketAddr> = listeners
             .iter()
-            .map(|listener| listener.local_addr().expect("it is bound"))
+            .map(|listener| listener.local_addr().expect("the listener is bound"))
             .collect();
-        drop(held);
+        drop(listeners);
         let mut controls = Vec::new();
         for (index, address) in addresses.iter().enumerate() {
             let text = json!({
@@ -88,13 +94,13 @@
                 "control": addresses, "data_folder": folder.path().join(index.to_string()),
             });
             let parsed = settings::ProcessSettings::parse(&text.to_string());
-            let parsed = parsed.expect("the settings are sound");
+            let parsed = parsed.expect("the settings are valid");
             let options = process::StartOptions {
                 bootstrap: true,
                 ..process::StartOptions::default()
             };
             let started = process::start(&parsed, options).await;
-            controls.push(started.expect("its port was free"));
+            controls.push(started.expect("the control can be started"));
         }
         Self {
             controls,
@@ -102,7 +108,7 @@
         }
     }
 
-    /// The control that leads.
+    /// Waits for a leader and returns it.
     async fn leader(&self) -> &process::RunningProcess {
         loop {
             for control in &self.controls {
@@ -125,7 +131,7 @@
     questions::ForwardedChange { author, request }.into_proposal()
 }
 
-fn first_entries() -> Vec<Value> {
+fn initial_entries() -> Vec<Value> {
     vec![
         json!({"kind": "class", "name": "counter", "owner": "registru", "class": "counter"}),
         json!({"kind": "owner", "name": "registru", "owner": "registru", "class": "counter"}),
@@ -138,7 +144,7 @@
     proposal(&format!("change-{version}"), version, &put)
 }
 
-async fn accept(control: &process::RunningProcess, proposal: replication::ChangeProposal) {
+async fn commit(control: &process::RunningProcess, proposal: replication::ChangeProposal) {
     let answer = control.context.engine.propose(proposal).await;
     assert!(
         matches!(answer, replication::ProposalAnswer::Accepted(_)),
@@ -149,49 +155,52 @@
 async fn measure_group(size: usize) {
     let group = BenchGroup::start(size).await;
     let leader = group.leader().await;
-    accept(leader, proposal("first", 0, &json!(first_entries()))).await;
-    let (times, took) = one_by_one(leader, 1).await;
+    commit(leader, proposal("first", 0, &json!(initial_entries()))).await;
+    let (latencies, elapsed) = commit_sequentially(leader, 1).await;
     let line = json!({"bench": "commit_one_by_one", "controls": size,
-        "commits_per_s": (ONE_BY_ONE as f64 / took.as_secs_f64()).round(),
-        "p50_ms": percentile(&times, 50), "p99_ms": percentile(&times, 99)});
+        "commits_per_s": (SEQUENTIAL_CHANGES as f64 / elapsed.as_secs_f64()).round(),
+        "p50_ms": percentile(&latencies, 50), "p99_ms": percentile(&latencies, 99)});
     println!("{line}");
-    let first = 1 + ONE_BY_ONE;
+    let first = 1 + SEQUENTIAL_CHANGES;
     let started = Instant::now();
-    let waiting: Vec<_> = (first..first + PIPELINED)
+    let proposals: Vec<_> = (first..first + PIPELINED_CHANGES)
         .map(|version| {
             let engine = leader.context.engine.clone();
             async move { engine.propose(small_change(version)).await }
         })
         .collect();
-    let answers = futures_util::future::join_all(waiting).await;
-    let took = started.elapsed();
+    let answers = futures_util::future::join_all(proposals).await;
+    let elapsed = started.elapsed();
     let accepted = |answer: &&replication::ProposalAnswer| {
         matches!(answer, replication::ProposalAnswer::Accepted(_))
     };
     let accepted = answers.iter().filter(accepted).count();
-    let line = json!({"bench": "commit_pipelined", "controls": size, "sent": PIPELINED,
-        "accepted": accepted, "commits_per_s": (accepted as f64 / took.as_secs_f64()).round()});
+    let line = json!({"bench": "commit_pipelined", "controls": size, "sent": PIPELINED_CHANGES,
+        "accepted": accepted, "commits_per_s": (accepted as f64 / elapsed.as_secs_f64()).round()});
     println!("{line}");
 }
 
-async fn one_by_one(leader: &process::RunningProcess, first: u64) -> (Vec<Duration>, Duration) {
-    let mut times = Vec::new();
+async fn commit_sequentially(
+    leader: &process::RunningProcess,
+    first: u64,
+) -> (Vec<Duration>, Duration) {
+    let mut latencies = Vec::new();
     let started = Instant::now();
-    for version in first..first + ONE_BY_ONE {
+    for version in first..first + SEQUENTIAL_CHANGES {
         let proposed = Instant::now();
-        accept(leader, small_change(version)).await;
-        times.push(proposed.elapsed());
+        commit(leader, small_change(version)).await;
+        latencies.push(proposed.elapsed());
     }
-    let took = started.elapsed();
-    times.sort_unstable();
-    (times, took)
+    let elapsed = started.elapsed();
+    latencies.sort_unstable();
+    (latencies, elapsed)
 }
 
-/// The same one by one in a catalogue of the size to design for.
+/// Measures sequential commits with a catalogue of the size that the system is designed for.
 async fn measure_full_catalogue() {
     let group = BenchGroup::start(3).await;
     let leader = group.leader().await;
-    accept(leader, proposal("first", 0, &json!(first_entries()))).await;
+    commit(leader, proposal("first", 0, &json!(initial_entries()))).await;
     for service in 0..SERVICES {
         let name = format!("service-{service}");
         let mut put = vec![json!({"kind": "service", "name": name, "owner": "registru",
@@ -202,29 +211,29 @@
                 "match": {"path_prefix": format!("/{name}/{route}"), "methods": ["GET"]}})
         }));
         let version = 1 + service as u64;
-        accept(leader, proposal(&name, version, &json!(put))).await;
+        commit(leader, proposal(&name, version, &json!(put))).await;
     }
-    let (times, took) = one_by_one(leader, 1 + SERVICES as u64).await;
+    let (latencies, elapsed) = commit_sequentially(leader, 1 + SERVICES as u64).await;
     let line = json!({"bench": "commit_full_catalogue", "controls": 3,
         "entries": SERVICES * (ROUTES + 1) + 3,
-        "commits_per_s": (ONE_BY_ONE as f64 / took.as_secs_f64()).round(),
-        "p50_ms": percentile(&times, 50), "p99_ms": percentile(&times, 99)});
+        "commits_per_s": (SEQUENTIAL_CHANGES as f64 / elapsed.as_secs_f64()).round(),
+        "p50_ms": percentile(&latencies, 50), "p99_ms": percentile(&latencies, 99)});
     println!("{line}");
 }
 
-/// Time from the kill of the leader's process to the next accepted change, with real processes.
+/// Measures the time from the kill of the leader's process to the next accepted change.
 async fn measure_kills() {
     let mut fleet = fleet::Fleet::new(env!("CARGO_BIN_EXE_hazeltillerd"));
     fleet.add_controls("brasov-a", &CONTROLS).await;
     fleet.start(&CONTROLS, &["--bootstrap"]).await;
-    let first = json!({"change_id": "first", "expects": 0, "put": first_entries()});
+    let first = json!({"change_id": "first", "expects": 0, "put": initial_entries()});
     wait::until("the first change", || async {
         let (status, _) = fleet.change("control-1", &first).await?;
         (status == 200).then_some(())
     })
     .await;
-    let mut times = Vec::new();
-    for version in 1..=KILLS as u64 {
+    let mut outages = Vec::new();
+    for version in 1..=LEADER_KILLS as u64 {
         let leader = fleet_leader(&fleet).await;
         let others: Vec<&str> = CONTROLS
             .into_iter()
@@ -242,12 +251,12 @@
             }
             time::sleep(Duration::from_millis(5)).await;
         }
-        times.push(killed.elapsed());
+        outages.push(killed.elapsed());
         fleet.start(&[leader], &[]).await;
     }
-    times.sort_unstable();
-    let line = json!({"bench": "leader_killed", "controls": 3, "kills": KILLS,
-        "p50_ms": percentile(&times, 50), "max_ms": percentile(&times, 100)});
+    outages.sort_unstable();
+    let line = json!({"bench": "leader_killed", "controls": 3, "kills": LEADER_KILLS,
+        "p50_ms": percentile(&outages, 50), "max_ms": percentile(&outages, 100)});
     println!("{line}");
 }
 
--- a/benches/rest.rs
+++ b/benches/rest.rs
@@ -1,26 +1,28 @@
-//! What real processes spend at rest: processor, memory and control bytes, by size of the fleet.
+//! Processor time, memory and control traffic of idle processes, by size of the fleet.
 //!
-//! Run with `cargo bench --bench rest`; prints one JSON line a role and size. The slope over the
-//! sizes goes into docs/CAPACITY.md.
+//! Run with `cargo bench --bench rest`; prints one JSON line per role and size. The slopes over the
+//! sizes are documented in docs/CAPACITY.md.
 
 use std::time::{Duration, Instant};
 
 use hazeltiller_testkit::{fleet, wait};
 use serde_json::json;
 
+/// Numbers of nodes.
 const SIZES: [usize; 4] = [5, 15, 30, 60];
-const SETTLING: Duration = Duration::from_secs(5);
-const WATCHED: Duration = Duration::from_secs(10);
+/// Time between the discovery of all members and the measurement.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
+const MEASURED_TIME: Duration = Duration::from_secs(10);
 const CONTROLS: [&str; 3] = ["control-1", "control-2", "control-3"];
 const DATA_CENTRES: [&str; 4] = ["brasov-a", "brasov-b", "sibiu-a", "sibiu-b"];
-/// Clock ticks of the kernel's accounting, a second; fixed on Linux.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in /proc; fixed on Linux.
+const TICKS_PER_S: f64 = 100.0;
 
 fn main() {
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
-    let runtime = tokio::runtime::Runtime::new().expect("the system gives threads");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime can be started");
     for size in SIZES {
         runtime.block_on(measure(size));
     }
@@ -38,20 +40,20 @@
     fleet.start(&CONTROLS, &["--bootstrap"]).await;
     let nodes: Vec<&str> = names.iter().map(String::as_str).collect();
     fleet.start(&nodes, &[]).await;
-    wait::until("every member is known", || async {
+    wait::until("the first node to know every member", || async {
         let status = fleet.read(nodes[0], "/v1/status").await?;
         let known = status["members"].as_u64()? as usize;
         (known >= size + CONTROLS.len()).then_some(())
     })
     .await;
-    tokio::time::sleep(SETTLING).await;
+    tokio::time::sleep(SETTLING_TIME).await;
     let all: Vec<&str> = CONTROLS.into_iter().chain(nodes).collect();
     let mut before = Vec::new();
     for name in &all {
         before.push(usage(&fleet, name).await);
     }
     let started = Instant::now();
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(MEASURED_TIME).await;
     let seconds = started.elapsed().as_secs_f64();
     for (role, range) in [
         ("control", 0..CONTROLS.len()),
@@ -75,7 +77,7 @@
     }
 }
 
-/// What one process has used so far.
+/// Resources that a process has used since its start.
 #[derive(Debug, Default)]
 struct ProcessUsage {
     cpu_seconds: f64,
@@ -84,33 +86,33 @@
 }
 
 async fn usage(fleet: &fleet::Fleet, name: &str) -> ProcessUsage {
-    let id = fleet.process_id(name).expect("it was started");
+    let id = fleet.process_id(name).expect("the process was started");
     let read = |file: &str| {
-        std::fs::read_to_string(format!("/proc/{id}/{file}")).expect("the process runs")
+        std::fs::read_to_string(format!("/proc/{id}/{file}")).expect("the process is running")
     };
-    // Behind the command's name, which may hold spaces, user and system time are fields 12 and 13.
+    // The command name may contain spaces. After it, user and system time are fields 12 and 13.
     let stat = read("stat");
     let fields: Vec<&str> = stat
         .rsplit(')')
         .next()
-        .expect("a name ends so")
+        .expect("the command name ends with a bracket")
         .split_whitespace()
         .collect();
-    let ticks = |index: usize| fields[index].parse::<f64>().expect("it is a number");
+    let ticks = |index: usize| fields[index].parse::<f64>().expect("the field is a number");
     let status = read("status");
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let resident = resident.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-    let page = fleet.read(name, "/v1/status").await.unwrap_or_default();
+    let status_document = fleet.read(name, "/v1/status").await.unwrap_or_default();
     ProcessUsage {
-        cpu_seconds: (ticks(11) + ticks(12)) / TICKS,
+        cpu_seconds: (ticks(11) + ticks(12)) / TICKS_PER_S,
         memory_kb: resident.unwrap_or_default(),
-        control_bytes: sent_bytes(&page),
+        control_bytes: sent_bytes(&status_document),
     }
 }
 
-/// Sum over the reasons that a status page gives.
-fn sent_bytes(page: &serde_json::Value) -> f64 {
-    let reasons = page["bytes"]["sent"].as_object();
+/// Returns the sum of sent bytes over all reasons of a status document.
+fn sent_bytes(document: &serde_json::Value) -> f64 {
+    let reasons = document["bytes"]["sent"].as_object();
     let bytes = |count: &serde_json::Value| count["bytes"].as_f64().unwrap_or_default();
     reasons
         .into_iter()
