--- a/fuzz/fuzz_targets/frames.rs
+++ b/fuzz/fuzz_targets/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between processes and the greetings before them.
+//! Decoding of frames between processes and of the handshake messages before them.
 
 #![no_main]
 
@@ -7,8 +7,8 @@
 
 fuzz_target!(|bytes: &[u8]| {
     if let Ok(frame) = codec::decode_body::<message::PeerFrame>(bytes) {
-        let again = codec::encode_body(&frame);
-        assert!(codec::decode_body::<message::PeerFrame>(&again).is_ok());
+        let encoded = codec::encode_body(&frame);
+        assert!(codec::decode_body::<message::PeerFrame>(&encoded).is_ok());
     }
     drop(codec::decode_body::<handshake::LinkHello>(bytes));
     drop(codec::decode_body::<handshake::LinkChallenge>(bytes));
--- a/fuzz/fuzz_targets/headers.rs
+++ b/fuzz/fuzz_targets/headers.rs
@@ -1,4 +1,4 @@
-//! Headers between nodes.
+//! Decoding of the HTTP headers that nodes exchange.
 
 #![no_main]
 
@@ -7,8 +7,8 @@
 
 fuzz_target!(|text: &str| {
     if let Ok(offer) = codec::decode_header::<calls::CallOffer>(text) {
-        let again = codec::encode_header(&offer);
-        assert_eq!(codec::decode_header(&again), Ok(offer));
+        let encoded = codec::encode_header(&offer);
+        assert_eq!(codec::decode_header(&encoded), Ok(offer));
     }
     drop(codec::decode_header::<calls::CallRefusal>(text));
     drop(codec::decode_header::<calls::LoadReport>(text));
--- a/fuzz/fuzz_targets/records.rs
+++ b/fuzz/fuzz_targets/records.rs
@@ -1,4 +1,4 @@
-//! Records of the log on disk.
+//! Reading of records and the file header of the log on disk.
 
 #![no_main]
 
--- a/fuzz/fuzz_targets/texts.rs
+++ b/fuzz/fuzz_targets/texts.rs
@@ -1,4 +1,5 @@
-//! Texts that people and targets write: settings, catalogue files, changes, announcements.
+//! Parsing of texts that operators and targets provide: settings, catalogue files, changes and
+//! announcements.
 
 #![no_main]
 
