--- a/benches/balancing.rs
+++ b/benches/balancing.rs
@@ -139,7 +139,7 @@
         node.receive_record(&identity, 1, vec![record]);
     }
     node.announce(node::target("own", "service-0", 10));
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 0..CALLS {
         let call = ids::CallId(number);
         let path = format!(
@@ -161,8 +161,8 @@
         });
         node.call(calls::CallEvent::Finished(call));
     }
-    let ingress_time = began.elapsed();
-    let began = Instant::now();
+    let ingress_time = started.elapsed();
+    let started = Instant::now();
     for number in CALLS..2 * CALLS {
         let call = ids::CallId(number);
         let mut offer = node::offer("own", "registru", "counter");
@@ -172,7 +172,7 @@
         let result = calls::RunResult::Done { status: 200 };
         node.call(calls::CallEvent::RunEnded { call, result });
     }
-    let owner_time = began.elapsed();
+    let owner_time = started.elapsed();
     let seconds_per_call = (ingress_time + owner_time).as_secs_f64() / CALLS as f64;
     let events = 5.0 * CALLS as f64 / (ingress_time + owner_time).as_secs_f64();
     let line = json!({"bench": "reducer_calls", "nodes": NODES, "services": SERVICES,
--- a/benches/calls.rs
+++ b/benches/calls.rs
@@ -38,7 +38,7 @@
     let tunables = engine_settings::TimelineTunables::default();
     let timeline = timeline::Timeline::new(instance, timeline::HybridClock::default(), &tunables);
     let request: hazeltiller_units::ids::RequestId = "0-1".parse().expect("the name is valid");
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     for _ in 0..RECORDED_EVENTS {
         timeline.note(engine_timeline::TimelineEvent::CallAnswered {
             request: request.clone(),
@@ -46,13 +46,13 @@
             took_us: 1,
         });
     }
-    let record_ns = began.elapsed().as_nanos() / u128::from(RECORDED_EVENTS);
+    let record_ns = started.elapsed().as_nanos() / u128::from(RECORDED_EVENTS);
     let metrics = metrics::ProcessMetrics::default();
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     for _ in 0..RECORDED_EVENTS {
         metrics.note_event(Duration::from_micros(1));
     }
-    let count_ns = began.elapsed().as_nanos() / u128::from(RECORDED_EVENTS);
+    let count_ns = started.elapsed().as_nanos() / u128::from(RECORDED_EVENTS);
     println!(
         "{}",
         json!({"bench": "seeing", "note_ns": record_ns as u64, "count_ns": count_ns as u64})
--- a/benches/dissemination/codec.rs
+++ b/benches/dissemination/codec.rs
@@ -74,27 +74,27 @@
 }
 
 fn measure_codec<T>(
-    what: &str,
+    message_name: &str,
     codec: &str,
     message: &T,
     encode: impl Fn(&T) -> Vec<u8>,
     decode: impl Fn(&[u8]) -> T,
 ) {
     let bytes = encode(message);
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..REPETITIONS {
         std::hint::black_box(encode(std::hint::black_box(message)));
     }
-    let encoding_time = began.elapsed();
-    let began = Instant::now();
+    let encoding_time = started.elapsed();
+    let started = Instant::now();
     for _ in 0..REPETITIONS {
         std::hint::black_box(decode(std::hint::black_box(&bytes)));
     }
-    let decoding_time = began.elapsed();
+    let decoding_time = started.elapsed();
     super::print(
         "codec",
         json!({
-            "message": what, "codec": codec, "bytes": bytes.len(),
+            "message": message_name, "codec": codec, "bytes": bytes.len(),
             "encode_us": encoding_time.as_secs_f64() * 1e6 / f64::from(REPETITIONS),
             "decode_us": decoding_time.as_secs_f64() * 1e6 / f64::from(REPETITIONS),
         }),
--- a/benches/dissemination/live.rs
+++ b/benches/dissemination/live.rs
@@ -59,16 +59,16 @@
     let rest_rates = per_second(before, sent_bytes(&fleet), REST_TIME);
     let mut times = Vec::new();
     let before = sent_bytes(&fleet);
-    let began = Instant::now();
+    let started = Instant::now();
     for slots in 1..=CHANGES {
         let set = entries::put_slots("registru", slots as u32);
-        let (reached, took) = change(&fleet, version, json!({"put": set.put})).await;
-        version = reached;
-        times.extend(took);
+        let (new_version, node_times) = change(&fleet, version, json!({"put": set.put})).await;
+        version = new_version;
+        times.extend(node_times);
         time::sleep(Duration::from_millis(300)).await;
     }
-    let change_rates = per_second(before, sent_bytes(&fleet), began.elapsed());
-    let seconds = began.elapsed().as_secs_f64();
+    let change_rates = per_second(before, sent_bytes(&fleet), started.elapsed());
+    let seconds = started.elapsed().as_secs_f64();
     times.sort_by(f64::total_cmp);
     let per_change = |rate: f64, rest_rate: f64| (rate - rest_rate) * seconds / CHANGES as f64;
     super::print(
--- a/benches/dissemination/virtual_fleet.rs
+++ b/benches/dissemination/virtual_fleet.rs
@@ -119,14 +119,14 @@
     let (mut fleet, names) = settled_fleet(tunables, nodes);
     let (source_rest, node_rest, busiest_rest) = rest_rates(&mut fleet, &names);
     fleet.clear_counts();
-    let began = fleet.now();
+    let started = fleet.now();
     let mut times = Vec::new();
     for slots in 1..=CHANGES {
         times.extend(measure_change(&mut fleet, &names, slots));
         fleet.run(Duration::from_millis(500));
     }
     times.sort_by(f64::total_cmp);
-    let seconds = fleet.now().saturating_sub(began).as_secs_f64();
+    let seconds = fleet.now().saturating_sub(started).as_secs_f64();
     let per_change = |bytes: f64, rest: f64| (bytes - rest * seconds) / f64::from(CHANGES);
     let (mean, max) = node_bytes(&fleet, &names);
     super::print(
@@ -183,12 +183,12 @@
     }
     fleet.run(Duration::from_secs(1));
     fleet.clear_counts();
-    let began = fleet.now();
+    let started = fleet.now();
     for name in names {
         fleet.start(name);
     }
     let has_converged = fleet.run_until(CONVERGENCE_TIMEOUT, |fleet| fleet.has_converged(names));
-    let seconds = fleet.now().saturating_sub(began).as_secs_f64();
+    let seconds = fleet.now().saturating_sub(started).as_secs_f64();
     let controls_sent = source_bytes(fleet) as f64;
     let mut by_reason = serde_json::Map::new();
     for reason in message::ByteReason::ALL {
@@ -258,9 +258,9 @@
     let controls_sent = source_bytes(&fleet);
     fleet.counts_bytes = false;
     fleet.clear_counts();
-    let began = Instant::now();
+    let started = Instant::now();
     fleet.run(Duration::from_secs(5));
-    let elapsed = began.elapsed().as_secs_f64();
+    let elapsed = started.elapsed().as_secs_f64();
     let events: u64 = names.iter().map(|name| fleet.events(name)).sum();
     super::print(
         "slope",
--- a/benches/latency.rs
+++ b/benches/latency.rs
@@ -125,12 +125,12 @@
             .collect()
             .await
             .expect("the response is complete");
-        let took = started.elapsed();
+        let latency = started.elapsed();
         self.idle
             .lock()
             .expect("the lock is not poisoned")
             .push(sender);
-        took
+        latency
     }
 }
 
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -70,8 +70,8 @@
 /// What callers do after a failure or refusal.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CallerPolicy {
-    /// Maximum number of retries. A caller waits for the time that a refusal names, or a short time
-    /// after a failure.
+    /// Maximum number of retries. A caller retries after the time that a refusal names, but waits
+    /// for at most a third of its remaining time, and 10 ms after a failure.
     pub retries: u32,
     /// Time-out over all attempts of the caller, which sends the remaining time as the deadline.
     /// `None` applies the deadline of the route and disables retries.
--- a/crates/testkit/src/model/run.rs
+++ b/crates/testkit/src/model/run.rs
@@ -86,7 +86,9 @@
 pub struct CallModel {
     settings: model::ModelSettings,
     phases: Vec<(Vec<model::CallKind>, Duration)>,
+    /// Index of the current phase.
     phase: usize,
+    /// Statistics by phase and kind.
     counts: Vec<Vec<model::KindStats>>,
     /// Calls to be retried, by number.
     waiting_retries: IndexMap<u64, ModelCall>,
@@ -96,7 +98,9 @@
     random: ChaCha8Rng,
     ingresses: Vec<node::NodeReducer>,
     targets: Vec<TargetState>,
+    /// Scheduled events by time and sequence number.
     event_queue: BinaryHeap<Reverse<(time::MonotonicTime, u64, ModelEvent)>>,
+    /// Last number given to an event, call or attempt.
     sequence: u64,
     calls: IndexMap<u64, ModelCall>,
     attempts: IndexMap<u64, ModelAttempt>,
@@ -245,11 +249,13 @@
         }
     }
 
+    /// Returns the settings of a kind in the current phase.
     fn kind(&self, kind: usize) -> model::CallKind {
         self.phases[self.phase].0[kind]
     }
 
-    fn count(&mut self, call: u64) -> &mut model::KindStats {
+    /// Returns the statistics that a call counts in.
+    fn stats(&mut self, call: u64) -> &mut model::KindStats {
         let record = &self.calls[&call];
         &mut self.counts[record.phase][record.kind]
     }
@@ -275,6 +281,7 @@
         self.schedule(handled_at.since(self.now), event);
     }
 
+    /// Draws an exponentially distributed duration. `mean` is in seconds.
     fn exponential(&mut self, mean: f64) -> Duration {
         let uniform: f64 = self.random.random();
         Duration::from_secs_f64(-(1.0 - uniform).ln() * mean)
--- a/crates/testkit/src/model/run/callers.rs
+++ b/crates/testkit/src/model/run/callers.rs
@@ -100,7 +100,7 @@
                 calls::CallEffect::Refuse(_, refusal) => {
                     let retry_after = Duration::from_millis(u64::from(refusal.retry_after_ms));
                     let refusal_time = self.now.since(self.calls[&call].sent_at);
-                    self.count(call)
+                    self.stats(call)
                         .refusals
                         .push(refusal_time.as_micros() as u64);
                     self.finish(call, Err(retry_after));
@@ -120,7 +120,7 @@
             .parse()
             .expect("the name is valid");
         let time_left = Duration::from_millis(u64::from(offer.deadline_left_ms));
-        self.count(call).tries += 1;
+        self.stats(call).tries += 1;
         self.sequence += 1;
         let number = self.sequence;
         let attempt = ModelAttempt {
--- a/crates/testkit/src/model/run/owners.rs
+++ b/crates/testkit/src/model/run/owners.rs
@@ -69,7 +69,7 @@
         let (call, target, deadline) = (attempt.call, attempt.target, attempt.deadline);
         let mean_per_cost_s = self.targets[target].settings.mean_run_time.as_secs_f64();
         let mean_s = mean_per_cost_s * f64::from(attempt.offer.cost);
-        self.count(call).runs += 1;
+        self.stats(call).runs += 1;
         let work_time = self.exponential(mean_s).min(deadline.since(self.now));
         self.schedule(work_time, ModelEvent::WorkEnded(number));
         let inner = self.kind(self.calls[&call].kind).inner;
@@ -134,10 +134,10 @@
         }
         let (target, call) = (attempt.target, attempt.call);
         let (slot_time, has_failed) = (self.now.since(attempt.started), attempt.has_failed);
-        self.count(call).slot_time += slot_time;
+        self.stats(call).slot_time += slot_time;
         let attempt = &self.attempts[&number];
         let result = if has_failed {
-            let stats = self.count(call);
+            let stats = self.stats(call);
             stats.wasted += 1;
             stats.wasted_time += slot_time;
             let status = FAILED_STATUS;
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -31,7 +31,7 @@
     Silent,
     /// Delays each chunk by this time.
     Delay(Duration),
-    /// Forwards at most this many bytes in each direction, then closes the connection.
+    /// Forwards at most this many bytes in each direction, then closes that direction.
     CutAfter(usize),
     /// Forwards at most this many bytes per second in each direction.
     Throttle(usize),
--- a/crates/testkit/src/wait.rs
+++ b/crates/testkit/src/wait.rs
@@ -12,8 +12,11 @@
 ///
 /// # Panics
 ///
-/// Panics with `what` if there is no value within [`WAIT_TIMEOUT`].
-pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, mut poll: impl FnMut() -> F) -> T {
+/// Panics with `description` if there is no value within [`WAIT_TIMEOUT`].
+pub async fn until<T, F: Future<Output = Option<T>>>(
+    description: &str,
+    mut poll: impl FnMut() -> F,
+) -> T {
     let polling = async {
         loop {
             if let Some(value) = poll().await {
@@ -23,5 +26,5 @@
         }
     };
     let value = time::timeout(WAIT_TIMEOUT, polling).await.ok();
-    value.unwrap_or_else(|| panic!("timed out waiting for: {what}"))
+    value.unwrap_or_else(|| panic!("timed out waiting for: {description}"))
 }
