--- a/benches/goodput.rs
+++ b/benches/goodput.rs
@@ -136,7 +136,7 @@
             let sent = sum(|count| count.sent);
             let line = json!({"bench": "retries", "way": variant, "phase": phase, "seed": seed,
                 "broken_targets": broken,
-                "tries_per_call": sum(|count| count.tries) as f64 / sent as f64,
+                "tries_per_call": sum(|count| count.attempts) as f64 / sent as f64,
                 "good_of_sent": sum(|count| count.good) as f64 / sent as f64});
             println!("{line}");
         }
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -154,7 +154,7 @@
     /// Returns the offers for each call that arrived at an ingress node during the surge.
     fn offers_per_call(&self) -> f64 {
         let sum = |part: fn(&model::KindStats) -> u64| self.surge.iter().map(part).sum::<u64>();
-        sum(|count| count.tries) as f64 / sum(|count| count.arrivals) as f64
+        sum(|count| count.attempts) as f64 / sum(|count| count.arrivals) as f64
     }
 
     fn refusal_time(&self) -> Duration {
--- a/crates/engine/tests/urgency.rs
+++ b/crates/engine/tests/urgency.rs
@@ -461,7 +461,7 @@
     });
     let kinds = [model::CallKind::plain("/vehicles", 1300.0)];
     let counts = model.run(&kinds, Duration::from_secs(8));
-    counts[0].tries as f64 / counts[0].sent as f64
+    counts[0].attempts as f64 / counts[0].sent as f64
 }
 
 /// Load reports lag, so nodes that compare all targets herd onto the same one. The calls that it
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -120,8 +120,8 @@
 pub struct KindStats {
     /// Requests sent by callers, without retries.
     pub sent: u64,
-    /// Offers sent to owner nodes.
-    pub tries: u64,
+    /// Attempts, each an offer sent to an owner node.
+    pub attempts: u64,
     /// Requests that arrived at ingress nodes, including retries of callers.
     pub arrivals: u64,
     /// Times from arrival to refusal, in microseconds.
--- a/crates/testkit/src/model/run/callers.rs
+++ b/crates/testkit/src/model/run/callers.rs
@@ -120,7 +120,7 @@
             .parse()
             .expect("the name is valid");
         let time_left = Duration::from_millis(u64::from(offer.deadline_left_ms));
-        self.stats(call).tries += 1;
+        self.stats(call).attempts += 1;
         self.sequence += 1;
         let number = self.sequence;
         let attempt = ModelAttempt {
