--- a/benches/dissemination/live.rs
+++ b/benches/dissemination/live.rs
@@ -157,8 +157,8 @@
         let request = Request::post("/v1/changes")
             .body(Full::<Bytes>::from(body.to_string()))
             .expect("the path is a URI");
-        let answer = client::exchange(fleet.control.addresses.operators, request).await;
-        if answer.is_ok_and(|answer| answer.status().is_success()) {
+        let response = client::exchange(fleet.control.addresses.operators, request).await;
+        if response.is_ok_and(|response| response.status().is_success()) {
             break;
         }
         assert!(Instant::now() < deadline, "the change is accepted");
--- a/benches/goodput.rs
+++ b/benches/goodput.rs
@@ -46,7 +46,7 @@
     }
 }
 
-fn entries(tries: u32) -> Value {
+fn entries(max_attempts: u32) -> Value {
     let class = |name: &str, rank: u32, share: f64| {
         json!({"kind": "class", "name": name, "owner": "registru", "class": name, "rank": rank,
                "limits": {"queue_ms": 200, "guaranteed_share": share}})
@@ -67,18 +67,18 @@
         entries.push(
             json!({"kind": "route", "name": path.trim_start_matches('/'), "owner": owner,
             "class": class, "service": "registru", "match": {"path_prefix": path},
-            "limits": {"tries": tries, "deadline_ms": 500}}),
+            "limits": {"tries": max_attempts, "deadline_ms": 500}}),
         );
     }
     Value::Array(entries)
 }
 
-fn settings(seed: u64, target: model::ModelTarget, tries: u32) -> model::ModelSettings {
+fn settings(seed: u64, target: model::ModelTarget, max_attempts: u32) -> model::ModelSettings {
     model::ModelSettings {
         seed,
         ingresses: INGRESSES,
         targets: vec![target; TARGETS],
-        entries: entries(tries),
+        entries: entries(max_attempts),
         link: LINK_LATENCY,
         policy: model::BalancingPolicy::Reducer,
     }
--- a/benches/latency.rs
+++ b/benches/latency.rs
@@ -174,8 +174,8 @@
     fleet.start(&NODES, &[]).await;
     wait::until("the catalogue", || async {
         for control in CONTROLS {
-            let answer = fleet.change(control, &catalogue()).await;
-            if answer.is_some_and(|(status, _)| status == 200) {
+            let response = fleet.change(control, &catalogue()).await;
+            if response.is_some_and(|(status, _)| status == 200) {
                 return Some(());
             }
         }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -265,8 +265,8 @@
             .body(body)
             .expect("the path is a URI");
         let response = self.send_request(name, "operators", request).await?;
-        let answer = serde_json::from_slice(response.body()).ok()?;
-        Some((response.status().as_u16(), answer))
+        let document = serde_json::from_slice(response.body()).ok()?;
+        Some((response.status().as_u16(), document))
     }
 
     /// Waits until instances have a version or a later one in force.
--- a/crates/testkit/src/rollouts.rs
+++ b/crates/testkit/src/rollouts.rs
@@ -1,9 +1,9 @@
-//! Simulated roll-outs of versions of known quality, in virtual time from a seed.
+//! Simulated rollouts of versions of known quality, in virtual time from a seed.
 //!
 //! Two versions of one service run the same mix of calls on machines of different speeds. As
 //! disturbances, machines of both versions become slow or fail for a time, and the calls that runs
 //! make fail for both versions. The simulation feeds the runs to the judge under test and follows
-//! the steps of the roll-out plan.
+//! the steps of the rollout plan.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     UnderLoad,
 }
 
-/// Settings of a simulated roll-out.
+/// Settings of a simulated rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutScenario {
     /// Seed of all random choices.
@@ -55,13 +55,13 @@
     pub targets: usize,
     /// Calls per second.
     pub rate: f64,
-    /// Time limit of the roll-out.
+    /// Time limit of the rollout.
     pub within: Duration,
     /// Whether machines of both versions become slow or fail, and calls of runs fail, for a time.
     pub has_disturbances: bool,
 }
 
-/// Outcome of a simulated roll-out.
+/// Outcome of a simulated rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutOutcome {
     /// Last phase.
@@ -120,7 +120,7 @@
     outcome: RolloutOutcome,
 }
 
-/// Simulates a roll-out with a judge.
+/// Simulates a rollout with a judge.
 pub fn simulate(
     scenario: RolloutScenario,
     judge: &mut dyn verdict::VersionJudge,
