--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -40,7 +40,7 @@
     let claimed = arrival.fingerprint.filter(|_| is_claimed);
     state.calls.ingress.insert(arrival.call, record);
     match claimed {
-        Some(request) => ledger::begin(state, arrival.call, request, output),
+        Some(request) => ledger::claim_call(state, arrival.call, request, output),
         None => begin(state, arrival.call, output),
     }
 }
@@ -192,7 +192,7 @@
         }
     };
     // At most one attempt of a call goes to a new version on trial.
-    let cohort = request.cohort.after_try();
+    let cohort = request.cohort.after_attempt();
     let now = state.now;
     let max_placements = state.settings.tunables.retry.free_placements as u32;
     if let Some(view) = state.routing.views.get_mut(&candidate.target) {
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -164,11 +164,11 @@
     let is_late = record.deadline <= state.now;
     health::record_run_result(state, &offer.target, result, is_late);
     if result == calls::RunResult::WrongTarget {
-        let misplaced = membership::MembershipEvent::Misplaced(offer.target.clone());
-        output.follow(event::Event::Membership(misplaced));
+        let misplaced = membership::MembershipEvent::WrongTarget(offer.target.clone());
+        output.enqueue(event::Event::Membership(misplaced));
     }
     let elapsed = state.now.since(started);
-    rollout::note_run(state, offer, elapsed, result);
+    rollout::record_run(state, offer, elapsed, result);
     admission::end_run(state, offer, elapsed, result);
     start_queued(state, &offer.target, output);
 }
--- a/crates/engine/src/replication/follower.rs
+++ b/crates/engine/src/replication/follower.rs
@@ -104,7 +104,9 @@
         if state_machine.catalogue.version > self.state_machine.catalogue.version {
             let restored =
                 dissemination::DisseminationEvent::Restored(state_machine.catalogue.clone());
-            context.output.follow(event::Event::Dissemination(restored));
+            context
+                .output
+                .enqueue(event::Event::Dissemination(restored));
         }
         self.state_machine = state_machine;
         self.commit = position;
--- a/crates/engine/src/replication/persist.rs
+++ b/crates/engine/src/replication/persist.rs
@@ -64,7 +64,8 @@
 }
 
 impl WriteQueue {
-    /// A queue for a store that holds the log up to `synced` and a snapshot up to `snapshot_position`.
+    /// A queue for a store that holds the log up to `synced` and a snapshot up to
+    /// `snapshot_position`.
     pub(super) fn after(synced: ids::LogPosition, snapshot_position: ids::LogPosition) -> Self {
         Self {
             synced,
@@ -211,7 +212,7 @@
     /// Handles the report that a batch and all earlier ones are synced.
     pub(super) fn handle_persisted(&mut self, context: &mut ReplicaContext, batch: u64) {
         if let Some(failure) = self.store_failure {
-            if failure.has_returned(batch) {
+            if failure.is_recovered(batch) {
                 self.handle_store_recovered(context);
             }
             return;
--- a/crates/engine/src/replication/store_failure.rs
+++ b/crates/engine/src/replication/store_failure.rs
@@ -2,7 +2,7 @@
 //!
 //! After a failed sync the state of the disk is unknown. All that must be durable is still in
 //! memory, so it is written again as one full batch. Until that batch is synced the replica sends
-//! no message and rejects every request. It can then continue in its group without a restart and
+//! no message and takes no proposal. It can then continue in its group without a restart and
 //! without data loss.
 
 use hazeltiller_units::code;
@@ -52,7 +52,7 @@
             snapshot: Some(Box::new(self.snapshot())),
             ..self.write_queue.next_batch()
         };
-        failure.give(batch.batch);
+        failure.record_rewrite(batch.batch);
         self.store_failure = Some(failure);
         let effect = ReplicationEffect::Persist(Box::new(batch));
         context
