--- a/tests/all/command_line.rs
+++ b/tests/all/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as a person and a script meet it: exit codes, one clear line, advice.
+//! Command line tool: exit codes, error messages and advice.
 
 use std::{path::PathBuf, process::Output};
 
@@ -17,13 +17,13 @@
         .expect("the command line tool runs")
 }
 
-async fn expect(arguments: &[&str], exit: i32, clause: &str) {
+async fn expect(arguments: &[&str], exit: i32, expected: &str) {
     let output = run(arguments).await;
     let text = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(exit), "{arguments:?}: {text}");
     assert!(
-        text.contains(clause),
-        "{arguments:?} should say {clause:?}: {text}"
+        text.contains(expected),
+        "{arguments:?} should print {expected:?}: {text}"
     );
 }
 
@@ -31,26 +31,42 @@
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("examples")
         .join(name);
-    path.to_str().expect("the path is text").into()
+    path.to_str().expect("the path is UTF-8").into()
 }
 
 #[tokio::test]
 async fn wrong_usage() {
     let catalogue = example("first/catalogue.jsonc");
-    // Nothing listens on port 1 of loopback.
-    let dead = ["--operators", "127.0.0.1:1"];
+    // Nothing listens on port 1 of the loopback address.
+    let unreachable = ["--operators", "127.0.0.1:1"];
     expect(&["aply"], 2, "did you mean").await;
     expect(&["apply", &catalogue], 2, "--operators").await;
     expect(
-        &["apply", dead[0], dead[1], "missing.jsonc"],
+        &["apply", unreachable[0], unreachable[1], "missing.jsonc"],
         2,
         "HZ1004: missing.jsonc",
     )
     .await;
-    expect(&["apply", dead[0], dead[1], &catalogue], 1, "HZ1005").await;
-    expect(&["status", dead[0], dead[1]], 1, "check --operators").await;
     expect(
-        &["status", dead[0], dead[1], "--token-file", "missing"],
+        &["apply", unreachable[0], unreachable[1], &catalogue],
+        1,
+        "HZ1005",
+    )
+    .await;
+    expect(
+        &["status", unreachable[0], unreachable[1]],
+        1,
+        "check --operators",
+    )
+    .await;
+    expect(
+        &[
+            "status",
+            unreachable[0],
+            unreachable[1],
+            "--token-file",
+            "missing",
+        ],
         2,
         "HZ1004",
     )
@@ -78,41 +94,91 @@
     let address = fleet.instance("control-1").addresses["operators"].to_string();
     let node = fleet.instance("node-1").addresses["operators"].to_string();
     let catalogue = example("first/catalogue.jsonc");
-    let to = ["--operators", &address];
+    let operators = ["--operators", &address];
     wait::until("a leader that takes the catalogue", || async {
-        let output = run(&["apply", to[0], to[1], "--change-id", "one", &catalogue]).await;
+        let output = run(&[
+            "apply",
+            operators[0],
+            operators[1],
+            "--change-id",
+            "one",
+            &catalogue,
+        ])
+        .await;
         (output.status.code() == Some(0)).then_some(())
     })
     .await;
-    // The first address is dead: the second is tried.
+    // The first address is unreachable, so the tool tries the second one.
     expect(
-        &["list", "--operators", "127.0.0.1:1", to[0], to[1], "route"],
+        &[
+            "list",
+            "--operators",
+            "127.0.0.1:1",
+            operators[0],
+            operators[1],
+            "route",
+        ],
         0,
         "lookup",
     )
     .await;
-    expect(&["get", to[0], to[1], "route", "lookup"], 0, "/vehicles").await;
-    expect(&["get", to[0], to[1], "route", "other"], 1, "HZ2009").await;
-    expect(&["diff", to[0], to[1], &catalogue], 0, "no difference").await;
     expect(
-        &["apply", to[0], to[1], "--expects", "7", &catalogue],
+        &["get", operators[0], operators[1], "route", "lookup"],
+        0,
+        "/vehicles",
+    )
+    .await;
+    expect(
+        &["get", operators[0], operators[1], "route", "other"],
+        1,
+        "HZ2009",
+    )
+    .await;
+    expect(
+        &["diff", operators[0], operators[1], &catalogue],
+        0,
+        "no difference",
+    )
+    .await;
+    expect(
+        &[
+            "apply",
+            operators[0],
+            operators[1],
+            "--expects",
+            "7",
+            &catalogue,
+        ],
         1,
         "the current version is 1",
     )
     .await;
     expect(
-        &["remove", to[0], to[1], "service", "registru"],
+        &["remove", operators[0], operators[1], "service", "registru"],
         2,
         "refers to service registru",
     )
     .await;
     expect(
-        &["remove", to[0], to[1], "--output", "json", "route", "issue"],
+        &[
+            "remove",
+            operators[0],
+            operators[1],
+            "--output",
+            "json",
+            "route",
+            "issue",
+        ],
         0,
         "\"version\":2",
     )
     .await;
-    expect(&["diff", to[0], to[1], &catalogue], 0, "+ route issue").await;
+    expect(
+        &["diff", operators[0], operators[1], &catalogue],
+        0,
+        "+ route issue",
+    )
+    .await;
     fleet.wait_version(&["node-1"], 2).await;
     expect(
         &["status", "--operators", &node],
@@ -121,16 +187,16 @@
     )
     .await;
     expect(
-        &["convergence", to[0], to[1], "2"],
+        &["convergence", operators[0], operators[1], "2"],
         0,
         "version 2: in force on",
     )
     .await;
     expect(
-        &["apply", to[0], to[1], "--wait", &catalogue],
+        &["apply", operators[0], operators[1], "--wait", &catalogue],
         0,
         "in force everywhere",
     )
     .await;
-    expect(&["targets", to[0], to[1]], 0, "data_centre").await;
+    expect(&["targets", operators[0], operators[1]], 0, "data_centre").await;
 }
--- a/tests/all/crashing.rs
+++ b/tests/all/crashing.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each target that runs it, sent again and again.
+//! Quarantine of a request that crashes every target that runs it.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const PATH: &str = "/certificates/crash-target";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn held_off() {
+async fn request_quarantined() {
     let mut fleet = support::start_small_fleet().await;
     fleet.add_node("brasov-a", "node-2").await;
     fleet.start(&["node-2"], &[]).await;
@@ -37,36 +37,44 @@
         let answer = fleet
             .ask(node, "callers", request)
             .await
-            .expect("an answer");
+            .expect("a response");
         let text = |name: &str| {
             let value = answer.headers().get(name)?;
             Some(value.to_str().ok()?.to_owned())
         };
         (text("hazeltiller-code"), text("hazeltiller-outcome"))
     };
-    let crashes = || {
+    let crash_count = || {
         let runs = targets
             .iter()
             .flat_map(hazeltiller_standin::target::StandInTarget::runs);
         runs.filter(|run| matches!(run.ended, Some((_, runs::RunEnd::Crashed))))
             .count()
     };
-    let held = wait::until("the request held off at both nodes", || async {
-        let (code, outcome) = send("node-1", PATH, "bad").await;
-        let at_other = send("node-2", PATH, "bad").await;
-        let is_held = code.as_deref() == Some("HZ3008");
-        time::sleep(Duration::from_millis(100)).await;
-        (is_held && at_other.0.as_deref() == Some("HZ3008")).then_some(outcome)
-    })
-    .await;
-    assert_eq!(held.as_deref(), Some("not-run"));
-    assert!(crashes() >= 2, "it is held off for crashes only");
-    let crashed = crashes();
+    let outcome_when_quarantined =
+        wait::until("quarantine of the request at both nodes", || async {
+            let (code, outcome) = send("node-1", PATH, "bad").await;
+            let at_second_node = send("node-2", PATH, "bad").await;
+            let is_quarantined = code.as_deref() == Some("HZ3008");
+            time::sleep(Duration::from_millis(100)).await;
+            (is_quarantined && at_second_node.0.as_deref() == Some("HZ3008")).then_some(outcome)
+        })
+        .await;
+    assert_eq!(outcome_when_quarantined.as_deref(), Some("not-run"));
+    assert!(
+        crash_count() >= 2,
+        "the request is quarantined only after crashes"
+    );
+    let earlier_crashes = crash_count();
     for node in ["node-1", "node-2", "node-1", "node-2"] {
         assert_eq!(send(node, PATH, "bad").await.0.as_deref(), Some("HZ3008"));
     }
-    assert_eq!(crashes(), crashed, "none crashes any more");
-    wait::until("another request", || async {
+    assert_eq!(
+        crash_count(),
+        earlier_crashes,
+        "a quarantined request crashes no target"
+    );
+    wait::until("an answer to another request", || async {
         let (code, _) = send("node-1", "/certificates/7", "good").await;
         code.is_none().then_some(())
     })
--- a/tests/all/decoders.rs
+++ b/tests/all/decoders.rs
@@ -1,4 +1,5 @@
-//! The daemon's decoders of text from outside: settings, announcements; and the load tool's mixes.
+//! Decoders of external text: settings, announcements, load mixes and stand-in behaviours reject
+//! damaged and hostile input without a panic.
 
 use hazeltiller_daemon::{
     dialect::{TargetDialect, native},
@@ -13,8 +14,8 @@
 };
 
 const SEED: u64 = 7;
-const CASES: u32 = 1000;
-const DEEP: usize = 100_000;
+const CASE_COUNT: u32 = 1000;
+const HOSTILE_LENGTH: usize = 100_000;
 const SETTINGS: &str = r#"{"instance": "a", "data_centre": "b", "region": "c", "roles": ["node"],
     "listen": {"peers": "127.0.0.1:0"}, "control": ["127.0.0.1:1"], "log": {"level": "info"},
     "tunables": {"membership": {"gossip_ms": 250}}} // text may follow"#;
@@ -24,7 +25,7 @@
 const MIX: &str = r#"{"kinds": [{"name": "lookup", "path": "/v/{n}", "weight": 3}]}"#;
 const BEHAVIOUR: &str = r#"{"latency_ms": 5, "answer": "in_part", "health": "always_well"}"#;
 
-/// Decodes a text; says whether it was taken.
+/// Decodes a text and returns whether it was valid.
 type Decoder = fn(&str) -> bool;
 
 const DECODERS: [(&str, Decoder); 4] = [
@@ -44,7 +45,7 @@
 
 fn runner() -> TestRunner {
     TestRunner::new(Config {
-        cases: CASES,
+        cases: CASE_COUNT,
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(SEED),
         ..Config::default()
@@ -53,32 +54,40 @@
 
 #[test]
 fn damaged_texts() {
-    for (sound, decode) in DECODERS {
-        assert!(decode(sound), "an undamaged text is taken: {sound}");
-        let damage = (
+    for (valid, decode) in DECODERS {
+        assert!(decode(valid), "an undamaged text is rejected: {valid}");
+        let damage_strategy = (
             any::<prop::sample::Index>(),
             prop::char::any(),
             any::<Option<prop::sample::Index>>(),
         );
-        let tried = runner().run(&damage, |(at, character, cut)| {
-            let mut text: Vec<char> = sound.chars().collect();
+        let result = runner().run(&damage_strategy, |(at, character, truncation)| {
+            let mut text: Vec<char> = valid.chars().collect();
             let at = at.index(text.len());
             text[at] = character;
-            if let Some(cut) = cut {
-                text.truncate(cut.index(text.len()));
+            if let Some(truncation) = truncation {
+                text.truncate(truncation.index(text.len()));
             }
-            // Whether it is taken is the decoder's to say; it must say so.
+            // The damaged text may still be valid; only panics fail this test.
             decode(&text.into_iter().collect::<String>());
             Ok(())
         });
-        tried.expect("no case fails");
+        result.expect("no decoder panics");
     }
 }
 
 #[test]
 fn hostile_texts() {
-    let huge = format!(r#"{{"instance": "{}"}}"#, "a".repeat(DEEP));
-    let texts = ["", "\0", "[", "{", "null", &"[".repeat(DEEP), &huge];
+    let huge = format!(r#"{{"instance": "{}"}}"#, "a".repeat(HOSTILE_LENGTH));
+    let texts = [
+        "",
+        "\0",
+        "[",
+        "{",
+        "null",
+        &"[".repeat(HOSTILE_LENGTH),
+        &huge,
+    ];
     for (_, decode) in DECODERS {
         for text in texts {
             assert!(!decode(text), "{}", &text[..text.len().min(40)]);
--- a/tests/all/demo.rs
+++ b/tests/all/demo.rs
@@ -1,4 +1,4 @@
-//! The embedded default: the README's first command.
+//! The `demo` command, which runs without any settings: no request is lost or run twice.
 
 use serde_json::Value;
 use tokio::process::Command;
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -241,8 +241,9 @@
     load.finish(&targets).await;
 }
 
-/// A peer that no longer reads its connection never closes it after the node announces its stop. The
-/// node must not wait for that connection, although it waits up to `finish_ms` for running calls.
+/// A peer that no longer reads its connection never closes it after the node announces its stop.
+/// The node must not wait for that connection, although it waits up to `finish_ms` for running
+/// calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_peer_skipped() {
     let mut fleet = start_fleet().await;
--- a/tests/all/examples.rs
+++ b/tests/all/examples.rs
@@ -1,4 +1,5 @@
-//! Every file under examples/ loads, and each user's folder has the sizes of the brief.
+//! Every file under examples/ loads, and each folder has the expected number of processes and
+//! routes.
 
 use std::path::{Path, PathBuf};
 
@@ -18,12 +19,12 @@
 
 #[test]
 fn examples_load() {
-    let cases = [
+    let expected_sizes = [
         ("first", 3, 2),
         ("register", 3 + 7 + 4, 3),
         ("credit-office", 3 + 6 + 4, 4),
     ];
-    for (folder, processes, routes) in cases {
+    for (folder, processes, routes) in expected_sizes {
         let mut settings_files = 0;
         for path in files(folder) {
             let text = std::fs::read_to_string(&path).expect("the file is readable");
@@ -32,7 +33,7 @@
                 let empty = state::CatalogueState::default();
                 let state = empty
                     .apply(&set, ids::LeaderTerm(1))
-                    .expect("the catalogue is sound");
+                    .expect("the catalogue is valid");
                 assert_eq!(state.routes().count(), routes, "{folder}");
             } else {
                 let parsed = settings::ProcessSettings::parse(&text);
--- a/tests/all/failing_disk.rs
+++ b/tests/all/failing_disk.rs
@@ -1,4 +1,4 @@
-//! Disks that refuse a write: what a control does meanwhile, and once they take writes again.
+//! Disk write failures: behaviour of a control while writes fail and after the disk recovers.
 
 use std::sync::mpsc;
 
@@ -13,18 +13,17 @@
     support,
 };
 
-/// Operators could not read the configuration back, for good, although it had been acknowledged and
-/// two of three controls had their disks.
+/// Guards against a control that stays out of service after its disk has recovered.
 ///
-/// The leader's disk was full for some seconds: its control refused all it was asked from then on,
-/// and the two others went on. The disk took writes again, the control did not use it. Then one of
-/// the two came back with an empty folder, and the last one was alone among three votes. That the
-/// disk was well was told by asking it again each second, that nobody else was at fault by the same
-/// loss half a minute before, which the whole group had healed in a third of a second.
+/// The disk of the leader is full for a while and the two other controls go on. If the former
+/// leader does not use its disk again once writes succeed, then the restart of a second control
+/// with an empty data folder leaves one usable voter of three. The group has lost its majority for
+/// good, and acknowledged configuration cannot be read, although two of three controls still have
+/// their data.
 ///
-/// A folder in the way of the file that is written aside stands for the full disk.
+/// A directory at the path of the temporary snapshot file stands in for the full disk.
 #[tokio::test(flavor = "multi_thread")]
-async fn full_disk_returns() {
+async fn full_disk_recovers() {
     let mut fleet = control_group::start_group(|settings| {
         let replication = &mut settings["tunables"]["replication"];
         replication["voters"] = json!(3);
@@ -32,45 +31,50 @@
     })
     .await;
     control_group::apply_change(&fleet, "control-1", &support::first_change()).await;
-    let full = control_group::wait_for_leader(&fleet).await;
-    let others: Vec<_> = CONTROLS.into_iter().filter(|name| *name != full).collect();
-    let (emptied, last) = (others[0], others[1]);
-    let obstacle = fleet.folder().join(full).join("snapshot.new");
-    std::fs::create_dir(&obstacle).expect("the folder is writable");
+    let full_control = control_group::wait_for_leader(&fleet).await;
+    let others: Vec<_> = CONTROLS
+        .into_iter()
+        .filter(|name| *name != full_control)
+        .collect();
+    let (emptied_control, healthy_control) = (others[0], others[1]);
+    let blocking_folder = fleet.folder().join(full_control).join("snapshot.new");
+    std::fs::create_dir(&blocking_folder).expect("the folder is writable");
     let mut version = 1;
-    while !fleet.log(full).contains("HZ5004") {
-        version = change_accepted(&fleet, last, version).await;
+    while !fleet.log(full_control).contains("HZ5004") {
+        version = apply_next_change(&fleet, healthy_control, version).await;
     }
-    version = change_accepted(&fleet, last, version).await;
-    std::fs::remove_dir(&obstacle).expect("it is empty");
-    fleet.kill(&[emptied]).await;
-    fleet.empty_data(emptied);
-    fleet.start(&[emptied], &[]).await;
-    version = change_accepted(&fleet, last, version).await;
+    version = apply_next_change(&fleet, healthy_control, version).await;
+    std::fs::remove_dir(&blocking_folder).expect("the folder is empty");
+    fleet.kill(&[emptied_control]).await;
+    fleet.empty_data(emptied_control);
+    fleet.start(&[emptied_control], &[]).await;
+    version = apply_next_change(&fleet, healthy_control, version).await;
     fleet.wait_version(&CONTROLS, version).await;
 }
 
-/// Has the change after a version accepted; returns the next version.
-async fn change_accepted(fleet: &fleet::Fleet, at: &str, version: u64) -> u64 {
+/// Applies a change that expects a version and returns the version it creates.
+async fn apply_next_change(fleet: &fleet::Fleet, at: &str, version: u64) -> u64 {
     let change = control_group::class_change(&format!("change-{version}"), version);
     let answer = control_group::apply_change(fleet, at, &change).await;
     assert_eq!(
         answer["version"],
         version + 1,
-        "a lone operator never clashes"
+        "the only writer never conflicts"
     );
     version + 1
 }
 
-/// A disk whose sync fails after some batches, and then seems well again.
+/// A store whose sync fails once, after a number of successful batches, and succeeds again
+/// afterwards.
 struct FailingStore {
-    left: usize,
+    /// Batches that are written before the failure.
+    successes_left: usize,
 }
 
 impl LogStore for FailingStore {
     fn write(&mut self, _: Vec<replication::PersistBatch>) -> Result<(), error::StoreError> {
-        self.left = self.left.wrapping_sub(1);
-        if self.left != usize::MAX {
+        self.successes_left = self.successes_left.wrapping_sub(1);
+        if self.successes_left != usize::MAX {
             return Ok(());
         }
         Err(error::StoreError::Disk {
@@ -84,9 +88,9 @@
 #[test]
 fn sync_fails() {
     let (handle, batches) = store_task::StoreHandle::new();
-    let (events, reported) = mpsc::channel();
-    let report = move |event| events.send(event).expect("the test listens");
-    let store = Box::new(FailingStore { left: 1 });
+    let (events, reports) = mpsc::channel();
+    let report = move |event| events.send(event).expect("the test holds the receiver");
+    let store = Box::new(FailingStore { successes_left: 1 });
     let thread = std::thread::spawn(move || store_task::run(store, &batches, report));
     let persist = |batch| {
         handle.persist(replication::PersistBatch {
@@ -95,29 +99,30 @@
         });
     };
     persist(1);
-    let kept = replication::ReplicationEvent::Persisted { batch: 1 };
-    assert_eq!(reported.recv(), Ok(kept));
+    let persisted = replication::ReplicationEvent::Persisted { batch: 1 };
+    assert_eq!(reports.recv(), Ok(persisted));
     persist(2);
     assert_eq!(
-        reported.recv(),
+        reports.recv(),
         Ok(replication::ReplicationEvent::StoreFailed)
     );
     persist(3);
     drop(handle);
-    thread.join().expect("it ends well");
+    thread.join().expect("the store thread does not panic");
     assert!(
-        reported.recv().is_err(),
-        "nothing is reported as kept after a failed sync"
+        reports.recv().is_err(),
+        "no batch is reported as persisted after a failed sync"
     );
 }
 
-/// What a failed sync has left cannot be known, so only a batch that holds everything may follow it.
+/// The state of the disk after a failed sync is unknown, so only a batch that rewrites everything
+/// may be written next.
 #[test]
-fn whole_batch_kept() {
+fn full_rewrite_persisted() {
     let (handle, batches) = store_task::StoreHandle::new();
-    let (events, reported) = mpsc::channel();
-    let report = move |event| events.send(event).expect("the test listens");
-    let store = Box::new(FailingStore { left: 0 });
+    let (events, reports) = mpsc::channel();
+    let report = move |event| events.send(event).expect("the test holds the receiver");
+    let store = Box::new(FailingStore { successes_left: 0 });
     let thread = std::thread::spawn(move || store_task::run(store, &batches, report));
     let persist = |batch, is_full_rewrite| {
         handle.persist(replication::PersistBatch {
@@ -128,14 +133,18 @@
     };
     persist(1, false);
     assert_eq!(
-        reported.recv(),
+        reports.recv(),
         Ok(replication::ReplicationEvent::StoreFailed)
     );
     persist(2, false);
     persist(3, true);
-    let kept = replication::ReplicationEvent::Persisted { batch: 3 };
-    assert_eq!(reported.recv(), Ok(kept), "the second one is not reported");
+    let persisted = replication::ReplicationEvent::Persisted { batch: 3 };
+    assert_eq!(
+        reports.recv(),
+        Ok(persisted),
+        "the second batch is not reported"
+    );
     drop(handle);
-    thread.join().expect("it ends well");
-    reported.recv().expect_err("nothing else is reported");
+    thread.join().expect("the store thread does not panic");
+    reports.recv().expect_err("nothing else is reported");
 }
--- a/tests/all/hygiene.rs
+++ b/tests/all/hygiene.rs
@@ -1,4 +1,5 @@
-//! What must not get through: ambiguous requests, connection headers, the system's own headers.
+//! HTTP message hygiene: request smuggling, hop-by-hop headers, reserved headers and truncated
+//! answers.
 
 use hazeltiller_standin::behaviour;
 use hazeltiller_testkit::{fleet, proxy, wait};
@@ -12,10 +13,10 @@
 const ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: x-private\r\n\
     x-private: 1\r\nhazeltiller-code: HZ9\r\nhazeltiller-outcome: not-run\r\n\r\nok";
 
-const CLOSE: &str = "connection: close\r\n";
+const CLOSE_HEADER: &str = "connection: close\r\n";
 
-/// One node and a raw target behind it.
-async fn raw_path(answer: RawAnswer) -> (fleet::Fleet, raw::RawTarget) {
+/// Starts a small fleet with a raw target at its node.
+async fn start_raw_target(answer: RawAnswer) -> (fleet::Fleet, raw::RawTarget) {
     let mut fleet = support::start_small_fleet().await;
     let node = fleet.instance("node-1").addresses["target"];
     let target = raw::RawTarget::start(node, "raw", answer).await;
@@ -24,10 +25,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests() {
-    let (mut fleet, target) = raw_path(RawAnswer::Bytes(ANSWER)).await;
+    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
     let callers = fleet.instance("node-1").addresses["callers"];
-    let many = "x: 1\r\n".repeat(200);
-    let large = format!("x: {}\r\n", "a".repeat(100_000));
+    let many_lines = "x: 1\r\n".repeat(200);
+    let large_line = format!("x: {}\r\n", "a".repeat(100_000));
     let table = [
         (
             "two lengths",
@@ -64,8 +65,8 @@
             "400",
         ),
         ("two hosts", "host: b\r\n\r\n", "400"),
-        ("many lines", &format!("{many}\r\n"), "431"),
-        ("large head", &format!("{large}\r\n"), "431"),
+        ("many lines", &format!("{many_lines}\r\n"), "431"),
+        ("large head", &format!("{large_line}\r\n"), "431"),
     ];
     for (name, rest, status) in table {
         let request = format!(
@@ -78,11 +79,11 @@
     }
     let received = target.received().await;
     let forwarded = received.iter().any(|text| text.contains("x-row"));
-    assert!(!forwarded, "nothing was forwarded: {received:?}");
+    assert!(!forwarded, "a bad request was forwarded: {received:?}");
 }
 
-/// A link between two nodes that is lost in the middle of a small answer costs that answer only: the caller gets
-/// a failure, and the answers to what it sent behind.
+/// When the link between two nodes breaks in the middle of a small answer, only that answer fails:
+/// the caller gets a 502 and still gets the answers to the requests pipelined after it.
 #[tokio::test(flavor = "multi_thread")]
 async fn link_lost_midway() {
     let mut fleet = fleet::Fleet::new(support::DAEMON);
@@ -103,7 +104,7 @@
     let callers = fleet.instance("node-1").addresses["callers"];
     let requests = "GET /vehicles/1 HTTP/1.1\r\nhost: a\r\n\r\n\
         GET /nowhere HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
-    // The first round loses the link that was open before, the second one a new link.
+    // The first round breaks a link that was already open, the second one a new link.
     for round in 0..2 {
         let answers = raw::exchange_bytes(callers, requests).await;
         let heads = answers.split("HTTP/1.1 ").skip(1);
@@ -113,8 +114,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_framing() {
-    let (mut fleet, target) = raw_path(RawAnswer::Bytes(ANSWER)).await;
+async fn conflicting_framing() {
+    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let rows = [
         "content-length: 3\r\ntransfer-encoding: chunked\r\n",
@@ -129,22 +130,22 @@
         let answer = raw::exchange_bytes(callers, &request).await;
         assert!(
             !answer.contains("404"),
-            "the connection was closed first: {answer}"
+            "the smuggled request was served: {answer}"
         );
         let received = raw::wait_for_request(&target, &path).await.to_lowercase();
-        let head = received.split(&path).nth(1).expect("it was just found");
+        let head = received.split(&path).nth(1).expect("the path was received");
         let head = head
             .split("\r\n\r\n")
             .next()
-            .expect("a split has a first part");
+            .expect("a split yields at least one part");
         assert!(head.contains("transfer-encoding: chunked"), "{head}");
         assert!(!head.contains("content-length"), "{head}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn own_headers() {
-    let (mut fleet, target) = raw_path(RawAnswer::Bytes(ANSWER)).await;
+async fn reserved_headers() {
+    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let request = "GET /vehicles/own HTTP/1.1\r\nhost: a\r\nconnection: close, x-hop\r\n\
         x-hop: 1\r\nkeep-alive: 5\r\nproxy-connection: x\r\nhazeltiller-offer: 00\r\n\
@@ -155,7 +156,7 @@
     let received = raw::wait_for_request(&target, "/vehicles/own")
         .await
         .to_lowercase();
-    for gone in [
+    for removed in [
         "x-hop",
         "keep-alive",
         "proxy-",
@@ -165,23 +166,26 @@
         "forged",
         "hz1",
     ] {
-        assert!(!received.contains(gone), "{gone} in {received}");
+        assert!(!received.contains(removed), "{removed} in {received}");
     }
     assert!(received.contains("x-mine: kept"), "{received}");
-    let left = received.split("hazeltiller-deadline-ms: ").nth(1);
-    let left = left.and_then(|rest| rest.lines().next()?.parse().ok());
-    let left: u64 = left.expect("the time left is sent on");
-    assert!((1..=1500).contains(&left), "{left} ms are left");
-    for gone in ["x-private", "hz9", "not-run", "-load", "-offer", "hz-"] {
-        assert!(!answer.contains(gone), "{gone} in {answer}");
+    let remaining_ms = received.split("hazeltiller-deadline-ms: ").nth(1);
+    let remaining_ms = remaining_ms.and_then(|rest| rest.lines().next()?.parse().ok());
+    let remaining_ms: u64 = remaining_ms.expect("the remaining deadline is forwarded");
+    assert!(
+        (1..=1500).contains(&remaining_ms),
+        "a remaining deadline of {remaining_ms} ms"
+    );
+    for removed in ["x-private", "hz9", "not-run", "-load", "-offer", "hz-"] {
+        assert!(!answer.contains(removed), "{removed} in {answer}");
     }
     assert!(answer.contains("hazeltiller-target: raw"), "{answer}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_answers() {
+async fn truncated_answers() {
     let table = [
-        // Above what is read whole before any of it is passed on.
+        // Larger than the answers that the node buffers completely before it forwards them.
         (
             "length",
             "HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\npart",
@@ -192,9 +196,9 @@
         ),
     ];
     for (name, bytes) in table {
-        let (mut fleet, _target) = raw_path(RawAnswer::BytesThenClose(bytes)).await;
+        let (mut fleet, _target) = start_raw_target(RawAnswer::BytesThenClose(bytes)).await;
         let callers = fleet.instance("node-1").addresses["callers"];
-        let answer = wait::until("an answer that began", || async {
+        let answer = wait::until("the start of an answer", || async {
             let request = "GET /vehicles/cut HTTP/1.1\r\nhost: a\r\n\r\n";
             let answer = raw::exchange_bytes(callers, request).await;
             answer.starts_with("HTTP/1.1 200").then_some(answer)
@@ -202,37 +206,39 @@
         .await;
         assert!(
             !answer.contains("\r\n0\r\n"),
-            "{name} passes for whole: {answer}"
+            "{name}: the truncated answer looks complete: {answer}"
         );
-        let (head, body) = answer.split_once("\r\n\r\n").expect("it has a head");
+        let (head, body) = answer
+            .split_once("\r\n\r\n")
+            .expect("the answer has a head");
         let is_short = head.contains("content-length: 99999") && body.len() < 99_999;
         assert!(is_short || head.contains("chunked"), "{name}: {answer}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn held_answers() {
+async fn buffered_answers() {
     let table = [
         ("length", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart"),
         ("no answer", "HTTP/1.1 200"),
     ];
     for (name, bytes) in table {
-        let (mut fleet, target) = raw_path(RawAnswer::BytesThenClose(bytes)).await;
+        let (mut fleet, target) = start_raw_target(RawAnswer::BytesThenClose(bytes)).await;
         let callers = fleet.instance("node-1").addresses["callers"];
-        let request = format!("POST /certificates/held HTTP/1.1\r\nhost: a\r\n{CLOSE}\r\n");
-        let answer = wait::until("the target's failure", || async {
+        let request = format!("POST /certificates/held HTTP/1.1\r\nhost: a\r\n{CLOSE_HEADER}\r\n");
+        let answer = wait::until("the refusal for the failed target", || async {
             let answer = raw::exchange_bytes(callers, &request).await;
             answer.contains("HZ3007").then_some(answer)
         })
         .await;
-        // Nothing of it was passed on, and it is not told as not run.
+        // No part of the answer is forwarded, and the outcome is not reported as not run.
         assert!(answer.starts_with("HTTP/1.1 502"), "{name}: {answer}");
         assert!(
             answer.contains("hazeltiller-outcome: unknown"),
             "{name}: {answer}"
         );
         let received = target.received().await;
-        assert!(!received.is_empty(), "{name}: it was sent");
+        assert!(!received.is_empty(), "{name}: the request was not sent");
     }
 }
 
@@ -242,41 +248,48 @@
     let node = fleet.instance("node-1").addresses["target"];
     let body = "x".repeat(5000);
     let request = format!(
-        "POST /v1/announce HTTP/1.1\r\nhost: a\r\n{CLOSE}content-length: 5000\r\n\r\n{body}"
+        "POST /v1/announce HTTP/1.1\r\nhost: a\r\n{CLOSE_HEADER}content-length: 5000\r\n\r\n{body}"
     );
     let answer = raw::exchange_bytes(node, &request).await;
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
 }
 
-/// Chunks whose last bytes look like the end of a head or of a body.
+/// Chunk data that ends like a message head or a chunked body is forwarded unchanged, with a single
+/// terminating chunk.
 #[tokio::test(flavor = "multi_thread")]
-async fn chunks_ended_once() {
+async fn chunk_terminators() {
     let table = [
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\n\r\n\r\n0\r\n\r\n",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n7\r\n0\r\n\r\nok\r\n0\r\n\r\n",
     ];
     for bytes in table {
-        let (mut fleet, _target) = raw_path(RawAnswer::Bytes(bytes)).await;
+        let (mut fleet, _target) = start_raw_target(RawAnswer::Bytes(bytes)).await;
         let callers = fleet.instance("node-1").addresses["callers"];
-        let request = format!("GET /vehicles/chunks HTTP/1.1\r\nhost: a\r\n{CLOSE}\r\n");
+        let request = format!("GET /vehicles/chunks HTTP/1.1\r\nhost: a\r\n{CLOSE_HEADER}\r\n");
         let answer = wait::until("an answer", || async {
             let answer = raw::exchange_bytes(callers, &request).await;
             answer.starts_with("HTTP/1.1 200").then_some(answer)
         })
         .await;
-        let sent = bytes.split_once("\r\n\r\n").expect("it has a head").1;
-        let got = answer.split_once("\r\n\r\n").expect("it has a head").1;
-        assert_eq!(got, sent);
+        let sent_body = bytes
+            .split_once("\r\n\r\n")
+            .expect("the answer has a head")
+            .1;
+        let received_body = answer
+            .split_once("\r\n\r\n")
+            .expect("the answer has a head")
+            .1;
+        assert_eq!(received_body, sent_body);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests() {
-    let (mut fleet, target) = raw_path(RawAnswer::Bytes(ANSWER)).await;
+    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let requests: String = ["one", "two", "three"]
         .map(|name| {
-            let close = if name == "three" { CLOSE } else { "" };
+            let close = if name == "three" { CLOSE_HEADER } else { "" };
             format!("GET /vehicles/{name} HTTP/1.1\r\nhost: a\r\n{close}\r\n")
         })
         .concat();
@@ -288,23 +301,24 @@
     assert_eq!(answer.matches("\r\n\r\nok").count(), 3, "{answer}");
     let received = target.received().await.concat();
     for name in ["one", "two", "three"] {
-        assert!(received.contains(name), "{name} was sent on");
+        assert!(received.contains(name), "{name} was not forwarded");
     }
 }
 
-/// The caller goes while its first request runs and others wait behind it on its connection.
+/// When a caller disconnects with pipelined requests in progress, the node closes
+/// their connections to the target.
 #[tokio::test(flavor = "multi_thread")]
-async fn pipeline_left() {
-    let (mut fleet, target) = raw_path(RawAnswer::Bytes("")).await;
+async fn pipeline_abandoned() {
+    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes("")).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let request = |name: &str| format!("GET /vehicles/{name} HTTP/1.1\r\nhost: a\r\n\r\n");
     let mut stream = tokio::net::TcpStream::connect(callers)
         .await
         .expect("the node listens");
-    let both = request("first") + &request("second");
-    tokio::io::AsyncWriteExt::write_all(&mut stream, both.as_bytes())
+    let pipeline = request("first") + &request("second");
+    tokio::io::AsyncWriteExt::write_all(&mut stream, pipeline.as_bytes())
         .await
-        .expect("the node reads");
+        .expect("the node reads the requests");
     raw::wait_for_request(&target, "first").await;
     raw::wait_for_request(&target, "second").await;
     drop(stream);
@@ -312,11 +326,11 @@
     target.connection_ended.notified().await;
 }
 
-/// A body in chunks is held to the listener's limit too: it is refused, and the target does not get it
-/// as if it were whole.
+/// The body limit of the listener applies to chunked bodies too: a larger body is refused, and the
+/// target does not receive a truncated one as complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn chunks_over_limit() {
-    let (mut fleet, target) = raw_path(RawAnswer::Bytes(ANSWER)).await;
+    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
     let limits = json!({"put": [{"kind": "listener", "name": "callers", "owner": "registru",
         "class": "counter", "limits": {"body_bytes": 1000}}], "remove": [],
         "change_id": "limits", "expects": 1});
@@ -333,7 +347,7 @@
     for (path, chunks, expected) in table {
         let chunks: String = chunks.into_iter().map(chunk).collect();
         let request = format!(
-            "POST {path} HTTP/1.1\r\nhost: a\r\n{CLOSE}transfer-encoding: chunked\r\n\r\n\
+            "POST {path} HTTP/1.1\r\nhost: a\r\n{CLOSE_HEADER}transfer-encoding: chunked\r\n\r\n\
             {chunks}0\r\n\r\n"
         );
         let answer = raw::exchange_bytes(callers, &request).await;
@@ -345,6 +359,6 @@
     let received = target.received().await.concat();
     assert!(
         !received.contains(&"x".repeat(1001)),
-        "more than the limit went on"
+        "the target received more than the limit"
     );
 }
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -1,4 +1,5 @@
-//! Owner, class and limits under load, through real processes; counts, not times.
+//! Owner weights, class ranks, rate limits and retry limits under load. The checks count requests
+//! and do not depend on timing.
 
 use std::time::Duration;
 
@@ -12,10 +13,11 @@
 
 use crate::support;
 
-const CHAIN: usize = 9;
+const CHAIN_LENGTH: usize = 9;
 
-/// Entries for a shortage: two classes, two owners in the first, one with a rate.
-fn entries() -> Value {
+/// Returns entries for an overload: routes of two classes, two weighted owners and one rate
+/// limited.
+fn overload_entries() -> Value {
     let route = |name: &str, owner: &str, class: &str| {
         json!({"kind": "route", "name": name, "owner": owner, "class": class,
                "service": "registru", "limits": {"tries": 1, "deadline_ms": 20_000},
@@ -39,19 +41,19 @@
     ])
 }
 
-async fn limited_fleet() -> fleet::Fleet {
+async fn start_limited_fleet() -> fleet::Fleet {
     let mut fleet = fleet::Fleet::new(support::DAEMON);
     fleet.add_controls("brasov-a", &["control-1"]).await;
     fleet.add_node("brasov-a", "node-1").await;
     fleet.start(&["control-1"], &["--bootstrap"]).await;
     fleet.start(&["node-1"], &[]).await;
-    accept(&fleet, entries()).await;
+    apply_entries(&fleet, overload_entries()).await;
     fleet
 }
 
-async fn accept(fleet: &fleet::Fleet, entries: Value) {
+async fn apply_entries(fleet: &fleet::Fleet, entries: Value) {
     let change = json!({"change_id": "limits", "expects": 0, "put": entries});
-    wait::until("the change", || async {
+    wait::until("acceptance of the change", || async {
         let (status, _answer) = fleet.change("control-1", &change).await?;
         (status == 200).then_some(())
     })
@@ -83,8 +85,8 @@
     fleet.ask("node-1", "callers", request).await
 }
 
-/// Keeps `callers` callers of each path asking, one call after another, until `count` were answered
-/// in all; returns how many of each path were, and the refusals.
+/// Runs `callers` closed-loop callers for each path until `count` requests in all were answered.
+/// Returns the number of answers by path, and the refusals.
 async fn overload(
     fleet: &fleet::Fleet,
     paths: &[&'static str],
@@ -93,15 +95,15 @@
 ) -> (IndexMap<&'static str, u32>, Vec<(&'static str, Value)>) {
     let tally = std::sync::Mutex::new((IndexMap::new(), Vec::new()));
     let answered = std::sync::atomic::AtomicU32::new(0);
-    let asking = paths.iter().flat_map(|path| vec![*path; callers]);
-    let tasks = asking.map(|path| {
+    let caller_paths = paths.iter().flat_map(|path| vec![*path; callers]);
+    let tasks = caller_paths.map(|path| {
         let (tally, answered) = (&tally, &answered);
         async move {
             while answered.load(std::sync::atomic::Ordering::Relaxed) < count {
                 let Some(response) = get(fleet, path).await else {
                     continue;
                 };
-                let mut tally = tally.lock().expect("no holder of the lock panics");
+                let mut tally = tally.lock().expect("the mutex is not poisoned");
                 if response.status() == StatusCode::OK {
                     answered.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                     *tally.0.entry(path).or_insert(0) += 1;
@@ -114,10 +116,10 @@
         }
     });
     futures_util::future::join_all(tasks).await;
-    tally.into_inner().expect("no holder of the lock panicked")
+    tally.into_inner().expect("the mutex is not poisoned")
 }
 
-fn slow(latency_ms: u64) -> behaviour::StandInBehaviour {
+fn behaviour_with_latency(latency_ms: u64) -> behaviour::StandInBehaviour {
     behaviour::StandInBehaviour {
         latency_ms,
         ..behaviour::StandInBehaviour::default()
@@ -126,8 +128,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn rank_and_weight() {
-    let mut fleet = limited_fleet().await;
-    let _target = start_stand_in(&mut fleet, ("registru", 1), 2, slow(10)).await;
+    let mut fleet = start_limited_fleet().await;
+    let _target = start_stand_in(&mut fleet, ("registru", 1), 2, behaviour_with_latency(10)).await;
     support::wait_for_ok(&fleet, "/heavy/ready").await;
     let paths = ["/heavy/1", "/light/1", "/night/1"];
     let (answered, refusals) = overload(&fleet, &paths, 10, 300).await;
@@ -137,7 +139,10 @@
         (2.0..=4.0).contains(&ratio),
         "weights 3 and 1: {answered:?}"
     );
-    assert!(count("/night/1") <= 30.0, "the last class: {answered:?}");
+    assert!(
+        count("/night/1") <= 30.0,
+        "the class served last: {answered:?}"
+    );
     assert!(!refusals.is_empty());
     for (path, refusal) in &refusals {
         assert_eq!(refusal["outcome"], "not-run", "{path} {refusal}");
@@ -146,9 +151,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rate_refuses() {
-    let mut fleet = limited_fleet().await;
-    let target = start_stand_in(&mut fleet, ("registru", 1), 10, slow(0)).await;
+async fn rate_limited() {
+    let mut fleet = start_limited_fleet().await;
+    let target = start_stand_in(&mut fleet, ("registru", 1), 10, behaviour_with_latency(0)).await;
     support::wait_for_ok(&fleet, "/heavy/ready").await;
     let before = target.log().records().len();
     let mut refused = None;
@@ -158,7 +163,7 @@
             refused = Some(response);
         }
     }
-    let refused = refused.expect("50 calls at once are over 1/s");
+    let refused = refused.expect("50 calls exceed a rate of 1/s");
     assert_eq!(refused.status(), StatusCode::TOO_MANY_REQUESTS);
     let headers = refused.headers();
     assert_eq!(headers["hazeltiller-code"], "HZ3004");
@@ -166,65 +171,72 @@
     assert_eq!(headers["hazeltiller-limit"], "owner metered limits.rate");
     assert!(headers.contains_key("retry-after"));
     let ran = target.log().records().len() - before;
-    assert!(ran < 50, "what was refused did not run: {ran}");
+    assert!(ran < 50, "refused requests ran: {ran}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lying_target_left() {
-    let mut fleet = limited_fleet().await;
-    let _honest = start_stand_in(&mut fleet, ("registru", 1), 10, slow(0)).await;
-    let lies = behaviour::StandInBehaviour {
+async fn false_health_ejected() {
+    let mut fleet = start_limited_fleet().await;
+    let _healthy = start_stand_in(&mut fleet, ("registru", 1), 10, behaviour_with_latency(0)).await;
+    let false_health = behaviour::StandInBehaviour {
         answer: behaviour::AnswerForm::Failing,
         health: behaviour::HealthForm::AlwaysWell,
-        ..slow(0)
+        ..behaviour_with_latency(0)
     };
-    let lying = start_stand_in(&mut fleet, ("registru", 2), 10, lies).await;
+    let failing = start_stand_in(&mut fleet, ("registru", 2), 10, false_health).await;
     support::wait_for_ok(&fleet, "/heavy/ready").await;
-    wait::until("a call of the lying target", || async {
-        get(&fleet, "/heavy/1").await?;
-        (!lying.runs().is_empty()).then_some(())
-    })
+    wait::until(
+        "a request at the target with the false health status",
+        || async {
+            get(&fleet, "/heavy/1").await?;
+            (!failing.runs().is_empty()).then_some(())
+        },
+    )
     .await;
     let mut failed = 0;
     for _ in 0..200 {
         let response = get(&fleet, "/heavy/1").await.expect("the node answers");
         failed += u32::from(response.status() == StatusCode::INTERNAL_SERVER_ERROR);
     }
-    // Five until it is known, and single trials further and further apart.
-    assert!(failed <= 15, "its health page says good: {failed}");
-    lying.behave(slow(0));
-    let before = lying.runs().len();
-    wait::until("the mended target takes calls", || async {
+    // Five failures eject the target; after that it gets single trial requests at growing
+    // intervals.
+    assert!(failed <= 15, "{failed} requests failed despite ejection");
+    failing.behave(behaviour_with_latency(0));
+    let before = failing.runs().len();
+    wait::until("requests at the recovered target", || async {
         let response = get(&fleet, "/heavy/1").await?;
-        (lying.runs().len() > before + 5).then_some(response)
+        (failing.runs().len() > before + 5).then_some(response)
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn chain_of_nine() {
+async fn retry_amplification() {
     let mut fleet = fleet::Fleet::new(support::DAEMON);
     fleet.add_controls("brasov-a", &["control-1"]).await;
     fleet.add_node("brasov-a", "node-1").await;
     fleet.start(&["control-1"], &["--bootstrap"]).await;
     fleet.start(&["node-1"], &[]).await;
-    accept(&fleet, chain_entries()).await;
+    apply_entries(&fleet, chain_entries()).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let mut targets = Vec::new();
-    for hop in 0..CHAIN {
-        let is_last = hop + 1 == CHAIN;
+    for hop in 0..CHAIN_LENGTH {
+        let is_last = hop + 1 == CHAIN_LENGTH;
         let next = (!is_last).then(|| behaviour::NextService {
             callers,
             path: Some(format!("/hop-{}", hop + 1)),
         });
-        let behaviour = behaviour::StandInBehaviour { next, ..slow(0) };
+        let behaviour = behaviour::StandInBehaviour {
+            next,
+            ..behaviour_with_latency(0)
+        };
         let service = format!("hop-{hop}");
         for number in 0..2 {
             let behaviour = behaviour.clone();
             targets.push(start_stand_in(&mut fleet, (&service, number), 64, behaviour).await);
         }
     }
-    // Both targets of each hop are known once calls have run at all of them.
+    // The node knows a target once a request has run at it.
     wait::until("runs at every target", || async {
         get(&fleet, "/hop-0").await?;
         let is_known = targets.iter().all(|it| !it.log().records().is_empty());
@@ -232,12 +244,12 @@
     })
     .await;
     let before: usize = targets.iter().map(|it| it.log().records().len()).sum();
-    // The deepest service sheds everything: the one answer that may be tried again.
-    let deepest = &targets[2 * (CHAIN - 1)..];
-    for target in deepest {
+    // The last service sheds every request, which is the only failure that may be retried here.
+    let last_targets = &targets[2 * (CHAIN_LENGTH - 1)..];
+    for target in last_targets {
         target.behave(behaviour::StandInBehaviour {
             real_slots: Some(0),
-            ..slow(0)
+            ..behaviour_with_latency(0)
         });
     }
     let calls = 200;
@@ -248,15 +260,15 @@
     }
     assert_eq!(failed, calls);
     let runs: usize = targets.iter().map(|it| it.log().records().len()).sum();
-    let shed: u64 = deepest.iter().map(|it| it.log().shed()).sum();
+    let shed: u64 = last_targets.iter().map(|it| it.log().shed()).sum();
     let shed = shed as usize;
     let sent = runs - before + shed;
     assert!(shed > 0);
     assert!(
-        sent * 10 < calls * CHAIN * 12,
+        sent * 10 < calls * CHAIN_LENGTH * 12,
         "sent {sent} for {calls} calls"
     );
-    assert!(shed * 10 < calls * 12, "the deepest was sent {shed}");
+    assert!(shed * 10 < calls * 12, "the last service was sent {shed}");
 }
 
 fn chain_entries() -> Value {
@@ -264,7 +276,7 @@
         json!({"kind": "class", "name": "counter", "owner": "registru", "class": "counter"}),
         json!({"kind": "owner", "name": "registru", "owner": "registru", "class": "counter"}),
     ];
-    for hop in 0..CHAIN {
+    for hop in 0..CHAIN_LENGTH {
         let name = format!("hop-{hop}");
         entries.push(json!({"kind": "service", "name": name, "owner": "registru",
                             "class": "counter"}));
--- a/tests/all/links.rs
+++ b/tests/all/links.rs
@@ -1,4 +1,4 @@
-//! Links between processes whose other side goes silent without a word of the network.
+//! Links between processes whose peer stops responding while the connection stays open.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,8 +13,8 @@
     runtime,
 };
 
-/// Time for which a node gives no sign of life: longer than the silence after which it is asked for one.
-const STANDSTILL: Duration = Duration::from_secs(1);
+/// Time for which a node blocks: longer than the idle time after which it is sent a keepalive ping.
+const BLOCKED_TIME: Duration = Duration::from_secs(1);
 
 fn credentials(name: &str) -> handshake::LinkCredentials {
     handshake::LinkCredentials {
@@ -23,7 +23,7 @@
     }
 }
 
-fn frame() -> message::PeerFrame {
+fn sample_frame() -> message::PeerFrame {
     let probe = membership::MembershipMessage::Introduction(Vec::new());
     message::PeerFrame {
         clock: hazeltiller_daemon::timeline::HybridClock::default().tick(),
@@ -37,68 +37,77 @@
     (listener, address)
 }
 
-/// Takes a link and greets.
+/// Accepts a link and completes the handshake.
 async fn accept(listener: &TcpListener) -> TcpStream {
-    let (mut stream, _from) = listener.accept().await.expect("the link opens");
-    let greeted = credentials("other").accept(&mut stream).await;
-    greeted.expect("the key is the same");
+    let (mut stream, _from) = listener.accept().await.expect("a link is opened");
+    let handshake_result = credentials("other").accept(&mut stream).await;
+    handshake_result.expect("both sides have the same key");
     stream
 }
 
 async fn read_frame(stream: &mut TcpStream) {
     let mut prefix = [0; codec::LENGTH_BYTES];
-    stream.read_exact(&mut prefix).await.expect("a frame comes");
-    let size = codec::frame_length(prefix).expect("its length is sound");
+    stream
+        .read_exact(&mut prefix)
+        .await
+        .expect("a frame arrives");
+    let size = codec::frame_length(prefix).expect("a valid frame length");
     let mut body = vec![0; size];
-    stream.read_exact(&mut body).await.expect("it is whole");
+    stream
+        .read_exact(&mut body)
+        .await
+        .expect("the frame is complete");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn silence_found() {
+async fn silent_link_lost() {
     let (listener, address) = listen().await;
     let counts = byte_counts::ByteCounts::default();
     let (table, mut losses) = links::LinkTable::new(credentials("own"), counts);
-    table.send(address, &frame());
-    let mut silent = accept(&listener).await;
-    read_frame(&mut silent).await;
-    // The network still takes what is written; nobody says that it was read.
+    table.send(address, &sample_frame());
+    let mut silent_peer = accept(&listener).await;
+    read_frame(&mut silent_peer).await;
+    // The connection still accepts writes, but the peer acknowledges nothing.
     assert_eq!(losses.recv().await, Some(address));
-    table.send(address, &frame());
-    let mut next = accept(&listener).await;
-    read_frame(&mut next).await;
+    table.send(address, &sample_frame());
+    let mut reopened = accept(&listener).await;
+    read_frame(&mut reopened).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reading_told() {
+async fn acknowledged_link_kept() {
     let (listener, address) = listen().await;
     let counts = byte_counts::ByteCounts::default();
     let (table, mut losses) = links::LinkTable::new(credentials("own"), counts);
-    table.send(address, &frame());
+    table.send(address, &sample_frame());
     let mut stream = accept(&listener).await;
     for _ in 0..3 {
         read_frame(&mut stream).await;
-        let told = stream.write_all(&[links::ACK_BYTE]).await;
-        told.expect("the link is open");
-        table.send(address, &frame());
+        let acknowledged = stream.write_all(&[links::ACK_BYTE]).await;
+        acknowledged.expect("the link is open");
+        table.send(address, &sample_frame());
     }
     read_frame(&mut stream).await;
-    assert!(losses.try_recv().is_err(), "one link carried all of it");
+    assert!(
+        losses.try_recv().is_err(),
+        "the link is kept while frames are acknowledged"
+    );
 }
 
-/// A node that stands still for a time with the first call that comes, and answers it then.
-fn slow_node(listener: std::net::TcpListener) {
+/// Runs a node that blocks for `BLOCKED_TIME` on the first call and then answers it.
+fn run_blocking_node(listener: std::net::TcpListener) {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("a runtime starts");
+    let runtime = runtime.expect("the runtime starts");
     runtime.block_on(async move {
         let listener = TcpListener::from_std(listener).expect("the listener is bound");
         let stream = accept(&listener).await;
         let answer = service::service_fn(|_request| async {
-            // The whole thread, so that nothing answers for it meanwhile.
-            std::thread::sleep(STANDSTILL);
+            // Blocks the only thread of the runtime, so that no keepalive ping is answered.
+            std::thread::sleep(BLOCKED_TIME);
             Ok::<_, std::convert::Infallible>(Response::new(http::full_body("")))
         });
         let server = http2::Builder::new(rt::TokioExecutor::new());
-        // The caller may have left.
+        // The caller may have disconnected.
         drop(
             server
                 .serve_connection(rt::TokioIo::new(stream), answer)
@@ -107,47 +116,50 @@
     });
 }
 
-async fn call_slow_node(sign_time: Duration) -> Result<StatusCode, pool::SendError> {
+async fn call_blocking_node(keepalive_timeout: Duration) -> Result<StatusCode, pool::SendError> {
     let (listener, address) = listen().await;
     let listener = listener.into_std().expect("the listener is bound");
-    std::thread::spawn(|| slow_node(listener));
-    let nodes = pool::NodePool::with_keepalive_timeout(credentials("own"), sign_time);
+    std::thread::spawn(|| run_blocking_node(listener));
+    let nodes = pool::NodePool::with_keepalive_timeout(credentials("own"), keepalive_timeout);
     let request = Request::get(format!("http://{address}/")).body(http::full_body(""));
-    let sent = nodes.send(address, request.expect("it is a URI")).await;
+    let sent = nodes
+        .send(address, request.expect("a valid request URI"))
+        .await;
     sent.map(|response| response.status())
 }
 
-/// On a link that has much to carry, a sign of life comes late; its calls are not given up for that.
+/// A keepalive answer can be late on a busy link; the calls on it must not fail before the timeout.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_sign_awaited() {
-    let answered = call_slow_node(Duration::from_secs(600)).await;
-    assert_eq!(answered.expect("the node lives"), StatusCode::OK);
+async fn late_keepalive_tolerated() {
+    let answered = call_blocking_node(Duration::from_secs(600)).await;
+    assert_eq!(answered.expect("the call succeeds"), StatusCode::OK);
 }
 
-/// Calls on a link without any sign of life are given up, and it is not said that they did not run.
+/// Calls on a link without a keepalive answer fail, and are not reported as not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_sign_given_up() {
-    let answered = call_slow_node(Duration::from_millis(1)).await;
+async fn missing_keepalive_fails() {
+    let answered = call_blocking_node(Duration::from_millis(1)).await;
     let is_broken = matches!(answered, Err(pool::SendError::ConnectionLost { .. }));
     assert!(is_broken, "{answered:?}");
 }
 
-/// Calls to a node that cannot be reached share one dial, and each is told that nothing of it was sent.
+/// Concurrent calls to an unreachable node share one connection attempt, and each fails as not
+/// sent.
 #[tokio::test(flavor = "multi_thread")]
-async fn dial_shared() {
+async fn connect_shared() {
     let (listener, address) = listen().await;
     let nodes = pool::NodePool::new(credentials("own"));
     let send = || {
         let request = Request::get(format!("http://{address}/")).body(http::full_body(""));
-        nodes.send(address, request.expect("it is a URI"))
+        nodes.send(address, request.expect("a valid request URI"))
     };
-    // The node takes connections and says nothing.
-    let (one, other, third) = tokio::join!(send(), send(), send());
-    for sent in [one, other, third] {
+    // The node accepts connections but never sends its handshake.
+    let (first, second, third) = tokio::join!(send(), send(), send());
+    for sent in [first, second, third] {
         let is_unsent = matches!(sent, Err(pool::SendError::NotConnected { .. }));
         assert!(is_unsent, "{sent:?}");
     }
     let listener = listener.into_std().expect("the listener is bound");
-    let dials = std::iter::from_fn(|| listener.accept().ok()).count();
-    assert_eq!(dials, 1);
+    let connection_count = std::iter::from_fn(|| listener.accept().ok()).count();
+    assert_eq!(connection_count, 1);
 }
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,4 +1,5 @@
-//! Integration tests: real processes, ports chosen by the system, a module a feature.
+//! Integration tests: one module per feature. Most start real processes on ports chosen by the
+//! system.
 
 mod command_line;
 mod control_group;
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -147,7 +147,8 @@
         .await;
     }
 
-    /// Sends a request, injects `fault` during its run and returns the outcome that the sender received.
+    /// Sends a request, injects `fault` during its run and returns the outcome that the sender
+    /// received.
     async fn send_with<F: AsyncFnOnce(&mut fleet::Fleet)>(
         &mut self,
         node: &str,
@@ -282,70 +283,68 @@
     ];
     for (row, killed) in table {
         // During the run.
-        let key_during = format!("during-{row}");
+        let during = format!("during-{row}");
         scenario
-            .send_with("node-1", &key_during, async |fleet| {
-                fleet.kill(killed).await
-            })
+            .send_with("node-1", &during, async |fleet| fleet.kill(killed).await)
             .await;
-        let received = scenario.send("node-3", &key_during).await;
+        let received = scenario.send("node-3", &during).await;
         assert_eq!(
             received,
             ReceivedOutcome::refusal("HZ3013", "unknown"),
-            "{key_during} through another node"
+            "{during} through another node"
         );
         scenario.restart(killed).await;
         scenario.wait_until_ready(&NODES).await;
-        let received = scenario.send("node-1", &key_during).await;
+        let received = scenario.send("node-1", &during).await;
         assert_eq!(
             received,
             ReceivedOutcome::refusal("HZ3013", "unknown"),
-            "{key_during} after a restart"
+            "{during} after a restart"
         );
         // After the run.
-        let key_after = format!("after-{row}");
-        let answer = scenario.send("node-1", &key_after).await;
+        let after = format!("after-{row}");
+        let answer = scenario.send("node-1", &after).await;
         assert!(
             matches!(answer, ReceivedOutcome::Answer(_)),
-            "{key_after}: {answer:?}"
+            "{after}: {answer:?}"
         );
         // A later claim over the same links proves that the controls have recorded the end of the
         // first one.
         scenario.send("node-1", &format!("behind-{row}")).await;
         scenario.fleet.kill(killed).await;
-        let received = scenario.send("node-3", &key_after).await;
+        let received = scenario.send("node-3", &after).await;
         let ran = ReceivedOutcome::refusal("HZ3012", "ran");
         assert!(
             received == answer || received == ran,
-            "{key_after}: {received:?}"
+            "{after}: {received:?}"
         );
         assert_eq!(
             received == ran,
             killed.contains(&"node-1"),
-            "{key_after}: the answer is lost only with the ingress node"
+            "{after}: the answer is lost only with the ingress node"
         );
         scenario.restart(killed).await;
         scenario.wait_until_ready(&NODES).await;
         // Before the run, while the killed nodes are down.
-        let key_before = format!("before-{row}");
+        let before = format!("before-{row}");
         scenario.fleet.kill(killed).await;
-        let received = scenario.send("node-3", &key_before).await;
+        let received = scenario.send("node-3", &before).await;
         let is_down = killed.contains(&"node-2");
         assert_eq!(
             matches!(received, ReceivedOutcome::Answer(_)),
             !is_down,
-            "{key_before}: {received:?}"
+            "{before}: {received:?}"
         );
         scenario.restart(killed).await;
         scenario.wait_until_ready(&NODES).await;
         let received = wait::until("a resend after the restart", || async {
-            let received = scenario.send("node-1", &key_before).await;
+            let received = scenario.send("node-1", &before).await;
             matches!(received, ReceivedOutcome::Answer(_)).then_some(received)
         })
         .await;
         assert!(
             matches!(received, ReceivedOutcome::Answer(_)),
-            "{key_before}: the resend is run"
+            "{before}: the resend is run"
         );
     }
 }
--- a/tests/all/pages.rs
+++ b/tests/all/pages.rs
@@ -1,4 +1,5 @@
-//! Pages that are printed from tables in the code: `HAZELTILLER_WRITE_PAGES=1` writes them anew.
+//! Generated documentation pages match the tables in the code, and settings files are parsed and
+//! checked. `HAZELTILLER_WRITE_PAGES=1` regenerates the pages.
 
 use std::path::Path;
 
@@ -18,7 +19,7 @@
     let page = std::fs::read_to_string(&path).expect("the page is committed");
     assert_eq!(
         page, expected,
-        "docs/{name} is behind the code: run the tests with HAZELTILLER_WRITE_PAGES=1"
+        "docs/{name} is outdated: run the tests with HAZELTILLER_WRITE_PAGES=1"
     );
 }
 
@@ -45,53 +46,53 @@
         .collect();
     assert!(
         numbers.is_sorted_by(|one, next| one < next),
-        "each number is given once, in order"
+        "numbers are unique and ascending"
     );
     for code in code::ResultCode::ALL {
         assert_eq!(code.to_string().parse(), Ok(*code));
     }
 }
 
-/// What the installation grants decides the tunables that hang on it; those that the file sets go first, and
-/// without a figure the defaults hold.
+/// The `installation` settings determine the tunables derived from them. Tunables in the file take
+/// precedence, and without `installation` settings the defaults apply.
 #[test]
-fn installation_followed() {
+fn installation_applied() {
     let tunables = |more: &str| {
         let text = format!(
             r#"{{"instance": "a", "data_centre": "b", "region": "c", "roles": ["node"],
             "control": ["127.0.0.1:1"], {more}}}"#
         );
-        let settings = settings::ProcessSettings::parse(&text).expect("the text is sound");
+        let settings = settings::ProcessSettings::parse(&text).expect("the settings are valid");
         settings.tunables
     };
     let defaults = hazeltiller_engine::settings::EngineTunables::default();
     assert_eq!(tunables(""), defaults);
-    let followed = tunables(
+    let derived = tunables(
         r#""installation": {"grace_s": 6, "retry_ratio": 0.2, "lost_controls": 1},
         "tunables": {"requests": {"tell_ms": 900}}"#,
     );
-    let requests = &followed.requests;
-    let times = (requests.leave_ms, requests.tell_ms, requests.finish_ms);
-    assert_eq!(times, (2500, 900, 3200));
+    let requests = &derived.requests;
+    let stop_times_ms = (requests.leave_ms, requests.tell_ms, requests.finish_ms);
+    assert_eq!(stop_times_ms, (2500, 900, 3200));
     assert_eq!(
-        (followed.replication.voters, followed.retry.budget_percent),
+        (derived.replication.voters, derived.retry.budget_percent),
         (3, 10)
     );
-    let short = tunables(r#""installation": {"grace_s": 2.0}"#).requests;
-    assert_eq!((short.leave_ms, short.finish_ms), (1000, 700));
+    let short_grace = tunables(r#""installation": {"grace_s": 2.0}"#).requests;
+    assert_eq!((short_grace.leave_ms, short_grace.finish_ms), (1000, 700));
 }
 
 #[test]
 fn settings_faults() {
-    let good = r#"{"instance": "a", "data_centre": "b", "region": "c", "roles": ["node"],
+    let valid_text = r#"{"instance": "a", "data_centre": "b", "region": "c", "roles": ["node"],
         "control": ["127.0.0.1:1"]}"#;
-    let settings = settings::ProcessSettings::parse(good).expect("the text is sound");
+    let settings = settings::ProcessSettings::parse(valid_text).expect("the settings are valid");
     assert!(settings.has_role(settings::ProcessRole::Node));
     let faults = |text: &str| {
-        let faults = settings::ProcessSettings::parse(text).expect_err("the text is faulty");
+        let faults = settings::ProcessSettings::parse(text).expect_err("the settings are invalid");
         faults.iter().map(ToString::to_string).collect::<Vec<_>>()
     };
-    let several = faults(
+    let found_faults = faults(
         r#"{"instance": "a b", "data_center": "b", "region": "c", "roles": [],
         "listen": {"peers": "here"}, "tunables": {"membership": {"gossip_ms": 1}}}"#,
     );
@@ -104,19 +105,19 @@
     ];
     for path in paths {
         assert!(
-            several
+            found_faults
                 .iter()
                 .any(|fault| fault.contains(&format!(": {path}: "))),
             "{path}"
         );
     }
     assert!(
-        several
+        found_faults
             .iter()
             .any(|fault| fault.contains("is \"data_centre\" meant?")),
-        "{several:?}"
+        "{found_faults:?}"
     );
-    assert_eq!(several.len(), paths.len() + 1);
+    assert_eq!(found_faults.len(), paths.len() + 1);
     let cases = [
         ("{", "HZ1001"),
         ("[]", "one object"),
@@ -129,8 +130,11 @@
             "control",
         ),
     ];
-    for (text, clause) in cases {
+    for (text, expected_text) in cases {
         let found = faults(text);
-        assert!(found.len() == 1 && found[0].contains(clause), "{found:?}");
+        assert!(
+            found.len() == 1 && found[0].contains(expected_text),
+            "{found:?}"
+        );
     }
 }
--- a/tests/all/parts.rs
+++ b/tests/all/parts.rs
@@ -1,12 +1,13 @@
-//! Parts that a process cannot do without: the end of one is told, so that the process can end.
+//! Critical tasks: the end of one is reported, so that the process can exit.
 
 use hazeltiller_daemon::{critical_tasks, process, settings};
 use hazeltiller_testkit::wait;
 use serde_json::json;
 
-/// A reducer that panics would leave a process that takes connections and answers nobody.
+/// Guards against a process that still accepts connections after its reducer has panicked, and
+/// answers none of them.
 #[tokio::test(flavor = "multi_thread")]
-async fn panic_told() {
+async fn reducer_panic_reported() {
     let folder = tempfile::tempdir().expect("a temporary folder can be made");
     let document = json!({
         "instance": "control-1", "data_centre": "brasov-a", "region": "ro-centru",
@@ -15,45 +16,47 @@
         "data_folder": folder.path(),
     });
     let settings = settings::ProcessSettings::parse(&document.to_string());
-    let settings = settings.expect("they are sound");
+    let settings = settings.expect("the settings are valid");
     let started = process::start(&settings, process::StartOptions::default()).await;
     let mut running = started.expect("the folder and the ports are free");
-    let looked = running
+    let inspected = running
         .context
         .engine
-        .inspect(|_| panic!("as a fault of the reducer would"))
+        .inspect(|_| panic!("simulated fault of the reducer"))
         .await;
-    assert_eq!(looked, None::<()>);
-    let ended = told(&mut running.critical_tasks).await;
+    assert_eq!(inspected, None::<()>);
+    let ended = wait_for_ended_task(&mut running.critical_tasks).await;
     assert_eq!(
         ended,
         critical_tasks::CriticalTask::Reducer,
-        "not the threads that it feeds"
+        "the reducer is reported, not the threads that depend on it"
     );
 }
 
-/// A thread that panics tells so; one that ends in order does not.
+/// A thread that panics is reported; one that disarms its guard before it ends is not.
 #[tokio::test]
-async fn thread_told() {
+async fn thread_panic_reported() {
     let (registry, mut watch) = critical_tasks::TaskRegistry::new();
-    let orderly = registry.guard(critical_tasks::CriticalTask::ClaimsWriter);
-    std::thread::spawn(move || orderly.disarm())
+    let disarmed_guard = registry.guard(critical_tasks::CriticalTask::ClaimsWriter);
+    std::thread::spawn(move || disarmed_guard.disarm())
         .join()
-        .expect("it ends in order");
+        .expect("the thread does not panic");
     let guard = registry.guard(critical_tasks::CriticalTask::LogWriter);
     let thread = std::thread::spawn(move || {
         let _guard = guard;
-        panic!("as a fault of the store would")
+        panic!("simulated fault of the store")
     });
-    thread.join().expect_err("it panicked");
+    thread.join().expect_err("the thread panics");
     assert_eq!(
-        told(&mut watch).await,
+        wait_for_ended_task(&mut watch).await,
         critical_tasks::CriticalTask::LogWriter
     );
 }
 
-async fn told(watch: &mut critical_tasks::TaskMonitor) -> critical_tasks::CriticalTask {
+async fn wait_for_ended_task(
+    watch: &mut critical_tasks::TaskMonitor,
+) -> critical_tasks::CriticalTask {
     tokio::time::timeout(wait::LONGEST_WAIT, watch.ended())
         .await
-        .expect("an end is told")
+        .expect("the end of a task is reported")
 }
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -1,4 +1,5 @@
-//! Strangers and broken peers at a peers listener: each loses its own link and nothing else.
+//! Unauthenticated and malformed connections to the peers listener: each is closed without an
+//! effect on other links.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 
 const KEY: &str = "the group's own key";
 
-async fn keyed_control() -> fleet::Fleet {
+async fn start_control_with_key() -> fleet::Fleet {
     let mut fleet = fleet::Fleet::new(support::DAEMON);
     let file = fleet.folder().join("key");
     std::fs::write(&file, KEY).expect("the folder is writable");
@@ -43,28 +44,32 @@
     handshake::LinkCredentials { identity, key }
 }
 
-/// Whether the other side closes the connection, however long that takes within the bound.
+/// Returns whether the other side closes the connection within `LONGEST_WAIT`.
 async fn is_closed(stream: &mut TcpStream) -> bool {
     let mut rest = Vec::new();
     let closing = stream.read_to_end(&mut rest);
-    // An error is a reset, which closes it too.
+    // A read error is a reset, which also ends the connection.
     let closed = tokio::time::timeout(wait::LONGEST_WAIT, closing).await;
     closed.is_ok()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn key_missing() {
-    let mut fleet = keyed_control().await;
+async fn unknown_key_rejected() {
+    let mut fleet = start_control_with_key().await;
     let address = fleet.instance("control-1").addresses["peers"];
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the control listens");
     let purpose = wire::LinkPurpose::Questions;
     let opened = credentials("guessed").open(&mut stream, purpose).await;
     assert!(
         opened.is_err(),
-        "the listener's proof is not the stranger's"
+        "the proof of the listener does not match the guessed key"
     );
-    // A stranger that does not mind the listener's proof fails by its own.
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
+    // A peer that does not check the proof of the listener is rejected for its own proof.
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the control listens");
     let hello = wire::LinkHello {
         version: wire::WIRE_VERSION,
         purpose,
@@ -73,12 +78,17 @@
     };
     let proof = wire::LinkProof { proof: [2; 32] };
     let frames = [codec::encode_frame(&hello), codec::encode_frame(&proof)].concat();
-    stream.write_all(&frames).await.expect("it is open");
+    stream
+        .write_all(&frames)
+        .await
+        .expect("the connection is open");
     assert!(
         is_closed(&mut stream).await,
-        "nothing is served without the key"
+        "a peer without the key is not served"
     );
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the control listens");
     let opened = credentials(KEY).open(&mut stream, purpose).await;
     assert_eq!(
         opened.expect("the key is right").instance.as_str(),
@@ -87,53 +97,62 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn peers_broken() {
-    let mut fleet = keyed_control().await;
+async fn malformed_peers_closed() {
+    let mut fleet = start_control_with_key().await;
     let address = fleet.instance("control-1").addresses["peers"];
-    let mut well = TcpStream::connect(address).await.expect("it listens");
+    let mut healthy = TcpStream::connect(address)
+        .await
+        .expect("the control listens");
     let purpose = wire::LinkPurpose::Messages;
     credentials(KEY)
-        .open(&mut well, purpose)
+        .open(&mut healthy, purpose)
         .await
         .expect("the key is right");
     let oversized = u32::MAX.to_le_bytes().to_vec();
     let garbage = [&4_u32.to_le_bytes()[..], &[0, 0xff, 0xff, 0xff]].concat();
-    let large_greeting = (wire::LARGEST_GREETING as u32 + 1).to_le_bytes().to_vec();
-    // What is sent, and whether the greeting comes first; the last is a byte and then silence.
+    let oversized_greeting = (wire::LARGEST_GREETING as u32 + 1).to_le_bytes().to_vec();
+    // Bytes to send, and whether to complete the handshake first. The last row sends one byte and
+    // then nothing.
     let table = [
         (oversized.clone(), true),
         (garbage.clone(), true),
         (oversized, false),
         (garbage, false),
-        (large_greeting, false),
+        (oversized_greeting, false),
         (vec![1], false),
     ];
-    for (bytes, is_greeted) in table {
-        let mut stream = TcpStream::connect(address).await.expect("it listens");
-        if is_greeted {
-            let greeted = credentials(KEY).open(&mut stream, purpose).await;
-            greeted.expect("the key is right");
+    for (bytes, is_authenticated) in table {
+        let mut stream = TcpStream::connect(address)
+            .await
+            .expect("the control listens");
+        if is_authenticated {
+            let handshake_result = credentials(KEY).open(&mut stream, purpose).await;
+            handshake_result.expect("the key is right");
         }
-        stream.write_all(&bytes).await.expect("it is open");
+        stream
+            .write_all(&bytes)
+            .await
+            .expect("the connection is open");
         assert!(
             is_closed(&mut stream).await,
-            "{bytes:?} greeted {is_greeted}"
+            "{bytes:?} after handshake: {is_authenticated}"
         );
     }
     let mut byte = [0];
-    let silent = tokio::time::timeout(Duration::from_millis(50), well.read(&mut byte)).await;
+    let read_result =
+        tokio::time::timeout(Duration::from_millis(50), healthy.read(&mut byte)).await;
     assert!(
-        silent.is_err(),
-        "the link of a peer that is well stays open"
+        read_result.is_err(),
+        "the link of a healthy peer stays open"
     );
     let status = fleet.read("control-1", "/v1/status").await;
-    assert!(status.is_some(), "the process goes on");
+    assert!(status.is_some(), "the process still answers");
     let request = Request::get("/metrics").body(Full::default());
     let request = request.expect("a valid request URI");
     let metrics = fleet.ask("control-1", "operators", request).await;
     let metrics = metrics.expect("the process is running").into_body();
     let text = String::from_utf8_lossy(&metrics).into_owned();
-    // Five that cannot be read, and one that said too little for too long.
+    // Five connections sent malformed frames, and one timed out in the handshake.
     for (code, count) in [("HZ4005", 5), ("HZ4004", 1)] {
         let line = format!("hazeltiller_refused_peers_total{{code=\"{code}\"}} {count}");
         assert!(text.contains(&line), "{line} in {text}");
--- a/tests/all/pipelining.rs
+++ b/tests/all/pipelining.rs
@@ -1,4 +1,5 @@
-//! The connection towards callers on its own: what is written for which body.
+//! HTTP/1.1 connections to callers, without a process: chunked encoding and the closing of
+//! connections.
 
 use std::{
     collections::VecDeque,
@@ -20,18 +21,18 @@
     net::TcpSocket,
 };
 
-const BOUNDS: http1::ConnectionLimits = http1::ConnectionLimits {
+const LIMITS: http1::ConnectionLimits = http1::ConnectionLimits {
     max_head_bytes: 8192,
     max_headers: 64,
     head_timeout: Duration::from_secs(30),
     idle_timeout: Duration::from_secs(30),
 };
 
-/// A body whose end is known with its last frame, but not its length.
+/// A body of unknown length that reports its end together with its last frame.
 #[derive(Clone)]
-struct KnownFrames(VecDeque<Result<Bytes, HeaderMap>>);
+struct FrameList(VecDeque<Result<Bytes, HeaderMap>>);
 
-impl Body for KnownFrames {
+impl Body for FrameList {
     type Data = Bytes;
     type Error = http::BodyError;
 
@@ -51,46 +52,48 @@
     }
 }
 
-struct FixedAnswer(KnownFrames);
+struct FixedResponse(FrameList);
 
-impl http1::CallHandler for FixedAnswer {
+impl http1::CallHandler for FixedResponse {
     async fn serve(&self, _request: http1::CallRequest) -> http1::CallResponse {
         Response::new(self.0.clone().boxed_unsync())
     }
 }
 
-/// What a caller that takes trailers reads after the head of the answer.
-async fn written(frames: &[Result<&'static str, HeaderMap>]) -> String {
+/// Returns the bytes after the response head that a caller which accepts trailers receives.
+async fn response_body(frames: &[Result<&'static str, HeaderMap>]) -> String {
     let frames = frames.iter().map(|frame| match frame {
         Ok(text) => Ok(Bytes::from_static(text.as_bytes())),
         Err(trailers) => Err(trailers.clone()),
     });
-    let service = Arc::new(FixedAnswer(KnownFrames(frames.collect())));
+    let service = Arc::new(FixedResponse(FrameList(frames.collect())));
     let (mut caller, node) = tokio::io::duplex(65_536);
     let (reader, writer) = tokio::io::split(node);
     let request = "GET / HTTP/1.1\r\nhost: a\r\nte: trailers\r\nconnection: close\r\n\r\n";
     let sent = caller.write_all(request.as_bytes()).await;
-    sent.expect("the node takes it");
+    sent.expect("the request is written");
     http1::serve(
         reader,
         writer,
-        BOUNDS,
+        LIMITS,
         service,
         drain::DrainState::default(),
     )
     .await;
     let mut text = String::new();
     let read = caller.read_to_string(&mut text).await;
-    read.expect("the answer is text");
-    let (_, body) = text.split_once("\r\n\r\n").expect("it has a head");
+    read.expect("the response is UTF-8");
+    let (_, body) = text
+        .split_once("\r\n\r\n")
+        .expect("the response has a head");
     body.into()
 }
 
-/// The last chunk is written once, whatever the bytes before it look like.
+/// The terminating chunk is written exactly once, even if the data before it looks like one.
 #[tokio::test]
 async fn last_chunk_once() {
     let mut trailers = HeaderMap::new();
-    trailers.insert("x-sum", "7".parse().expect("it is a header's value"));
+    trailers.insert("x-sum", "7".parse().expect("a valid header value"));
     let table = [
         (vec![Ok("ok")], "2\r\nok\r\n0\r\n\r\n"),
         (vec![Ok("a\r\n")], "3\r\na\r\n\r\n0\r\n\r\n"),
@@ -106,18 +109,19 @@
         ),
     ];
     for (frames, expected) in table {
-        assert_eq!(written(&frames).await, expected);
+        assert_eq!(response_body(&frames).await, expected);
     }
 }
 
-/// A caller that sends on while the last answer of its connection is on its way still gets all of it.
+/// A caller that sends another request while it receives the last response of its connection still
+/// receives that response completely.
 #[tokio::test]
-async fn crossing_request() {
+async fn request_after_close() {
     const BODY_BYTES: usize = 131_072;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket
         .set_send_buffer_size(2 * BODY_BYTES as u32)
-        .expect("the answer fits the buffer");
+        .expect("the send buffer holds the response");
     socket
         .bind("127.0.0.1:0".parse().expect("an address"))
         .expect("a free port");
@@ -125,34 +129,47 @@
     let address = listener.local_addr().expect("the listener is bound");
     let body = vec![b'a'; BODY_BYTES];
     let frames = [Ok(Bytes::from(body.clone()))];
-    let service = Arc::new(FixedAnswer(KnownFrames(frames.into())));
+    let service = Arc::new(FixedResponse(FrameList(frames.into())));
     let serving = tokio::spawn(async move {
-        let (stream, _from) = listener.accept().await.expect("a caller comes");
+        let (stream, _from) = listener.accept().await.expect("the caller connects");
         let (reader, writer) = stream.into_split();
         let drain = drain::DrainState::default();
-        http1::serve(reader, writer, BOUNDS, service, drain).await;
+        http1::serve(reader, writer, LIMITS, service, drain).await;
     });
     let socket = TcpSocket::new_v4().expect("a socket");
     socket
         .set_recv_buffer_size(4096)
-        .expect("most of the answer waits at the other side");
-    let mut stream = socket.connect(address).await.expect("it listens");
-    let last = b"GET /last HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
-    stream.write_all(last).await.expect("it is read");
+        .expect("the receive buffer is small");
+    let mut stream = socket.connect(address).await.expect("the listener accepts");
+    let last_request = b"GET /last HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
+    stream
+        .write_all(last_request)
+        .await
+        .expect("the request is written");
     let mut answer = vec![0; 1];
-    stream.read_exact(&mut answer).await.expect("it has begun");
-    let crossing = b"GET /crossing HTTP/1.1\r\nhost: a\r\n\r\n";
-    stream.write_all(crossing).await.expect("it is sent");
-    // A reset would come at once and take what is on its way along.
+    stream
+        .read_exact(&mut answer)
+        .await
+        .expect("the response has begun");
+    let late_request = b"GET /crossing HTTP/1.1\r\nhost: a\r\n\r\n";
+    stream
+        .write_all(late_request)
+        .await
+        .expect("the second request is written");
+    // A reset would arrive within this time and discard the data in flight.
     tokio::time::sleep(Duration::from_millis(100)).await;
     let rest = stream.read_to_end(&mut answer).await;
     rest.expect("the connection is not reset");
     let head = answer.windows(4).position(|bytes| bytes == b"\r\n\r\n");
-    let head = head.expect("the head is whole") + 4;
+    let head = head.expect("the head is complete") + 4;
     let is_body = answer[head..]
         .windows(BODY_BYTES)
         .any(|bytes| bytes == body);
-    assert!(is_body, "{} bytes came", answer.len());
+    assert!(
+        is_body,
+        "the response is incomplete: {} bytes received",
+        answer.len()
+    );
     drop(stream);
-    serving.await.expect("it ends with its caller");
+    serving.await.expect("the connection task does not panic");
 }
--- a/tests/all/promises.rs
+++ b/tests/all/promises.rs
@@ -1,19 +1,19 @@
-//! docs/PROMISES.md names tests that exist and leaves no cell empty.
+//! Checks of the documentation: tests, links and event kinds that pages name exist.
 
 use std::path::Path;
 
-/// Words before a test's module that name another place than tests/all.
-const CRATES: [&str; 5] = ["catalogue", "engine", "store", "wire", "standin"];
-const COLUMNS: usize = 4;
+/// First path segments that name a crate; tests without one are in tests/all.
+const CRATE_NAMES: [&str; 5] = ["catalogue", "engine", "store", "wire", "standin"];
+const COLUMN_COUNT: usize = 4;
 const TEST_COLUMN: usize = 2;
 
 fn test_file(path: &str) -> (String, String) {
     let parts: Vec<&str> = path.split("::").collect();
     match parts.as_slice() {
-        [place, module, name] if CRATES.contains(place) => {
+        [place, module, name] if CRATE_NAMES.contains(place) => {
             (format!("crates/{place}/tests/{module}.rs"), (*name).into())
         }
-        [place, module, part, name] if CRATES.contains(place) => {
+        [place, module, part, name] if CRATE_NAMES.contains(place) => {
             let file = format!("crates/{place}/tests/{module}/{part}.rs");
             (file, (*name).into())
         }
@@ -26,11 +26,12 @@
 #[test]
 fn tests_exist() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let page = std::fs::read_to_string(root.join("docs/PROMISES.md")).expect("it is committed");
-    let mut named = 0;
+    let page =
+        std::fs::read_to_string(root.join("docs/PROMISES.md")).expect("the page is committed");
+    let mut test_count = 0;
     for line in page.lines().filter(|line| line.starts_with("| ")) {
         let cells: Vec<&str> = line.trim_matches('|').split('|').map(str::trim).collect();
-        assert_eq!(cells.len(), COLUMNS, "{line}");
+        assert_eq!(cells.len(), COLUMN_COUNT, "{line}");
         assert!(
             cells.iter().all(|cell| !cell.is_empty()),
             "a cell is empty: {line}"
@@ -46,17 +47,17 @@
                 text.contains(&format!("fn {name}(")),
                 "{path} is not in {file}"
             );
-            named += 1;
+            test_count += 1;
         }
     }
-    assert!(named > 0, "the page names tests");
+    assert!(test_count > 0, "the page names no test");
 }
 
 #[test]
 fn summary_complete() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs");
-    let summary = std::fs::read_to_string(docs.join("SUMMARY.md")).expect("it is committed");
-    let mut pages = 0;
+    let summary = std::fs::read_to_string(docs.join("SUMMARY.md")).expect("the page is committed");
+    let mut page_count = 0;
     for folder in ["", "design", "incidents", "operators"] {
         let entries = std::fs::read_dir(docs.join(folder)).expect("the folder is committed");
         for entry in entries {
@@ -67,23 +68,23 @@
             }
             let page = path
                 .strip_prefix(&docs)
-                .expect("it was listed there")
+                .expect("the path is inside docs/")
                 .display()
                 .to_string();
             assert!(
                 summary.contains(&format!("({page})")),
                 "SUMMARY.md lacks {page}"
             );
-            pages += 1;
+            page_count += 1;
         }
     }
-    assert!(pages > 0, "there are pages");
+    assert!(page_count > 0, "no page was found");
 }
 
 #[test]
-fn links_lead_somewhere() {
+fn links_resolve() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs");
-    let summary = std::fs::read_to_string(docs.join("SUMMARY.md")).expect("it is committed");
+    let summary = std::fs::read_to_string(docs.join("SUMMARY.md")).expect("the page is committed");
     let links = summary
         .split("](")
         .skip(1)
@@ -93,22 +94,25 @@
     }
 }
 
-/// Every kind of the time line stands in docs/LOGS.md.
+/// docs/LOGS.md lists every event kind of the timeline.
 #[test]
 fn kinds_listed() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let source = std::fs::read_to_string(root.join("crates/engine/src/timeline.rs"));
-    let source = source.expect("the source is there");
-    let page = std::fs::read_to_string(root.join("docs/LOGS.md")).expect("the page is there");
+    let source = source.expect("the source is committed");
+    let page = std::fs::read_to_string(root.join("docs/LOGS.md")).expect("the page is committed");
     let body = source.split("pub enum TimelineEvent {").nth(1);
     let body = body.and_then(|rest| rest.split("\n}\n").next());
-    let variants = body.expect("the enum is there").lines().filter_map(|line| {
-        let name = line.strip_prefix("    ")?;
-        let name = name.trim_end_matches([',', '{', ' ']);
-        let is_variant = name.starts_with(|first: char| first.is_ascii_uppercase())
-            && name.chars().all(|letter| letter.is_ascii_alphanumeric());
-        is_variant.then(|| snake_case(name))
-    });
+    let variants = body
+        .expect("the source holds the enum")
+        .lines()
+        .filter_map(|line| {
+            let name = line.strip_prefix("    ")?;
+            let name = name.trim_end_matches([',', '{', ' ']);
+            let is_variant = name.starts_with(|first: char| first.is_ascii_uppercase())
+                && name.chars().all(|letter| letter.is_ascii_alphanumeric());
+            is_variant.then(|| snake_case(name))
+        });
     let variants: Vec<String> = variants.collect();
     assert!(variants.len() > 20, "{variants:?}");
     let missing: Vec<&String> = variants
--- a/tests/all/reload.rs
+++ b/tests/all/reload.rs
@@ -1,4 +1,4 @@
-//! Settings read again, and readiness, with real processes.
+//! Reloading of settings, and the readiness endpoint.
 
 use hazeltiller_testkit::{fleet, wait};
 use http_body_util::Full;
@@ -16,10 +16,10 @@
 async fn free_address() -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
     let address = listener.and_then(|listener| listener.local_addr());
-    address.expect("there is a free port")
+    address.expect("a free loopback port")
 }
 
-fn signal(fleet: &fleet::Fleet, name: &str, signal: &str) {
+fn send_signal(fleet: &fleet::Fleet, name: &str, signal: &str) {
     let id = fleet
         .process_id(name)
         .expect("the process is running")
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn readiness_told() {
+async fn readiness_reported() {
     let mut fleet = fleet::Fleet::new(support::DAEMON);
     fleet.add_controls("brasov-a", &["control-1"]).await;
     fleet.add_node("brasov-a", "node-1").await;
@@ -44,49 +44,50 @@
     assert_eq!(
         before,
         Some(StatusCode::SERVICE_UNAVAILABLE),
-        "it holds no catalogue"
+        "the node holds no catalogue"
     );
     fleet.start(&["control-1"], &["--bootstrap"]).await;
     support::apply_first_change(&fleet).await;
     assert_eq!(readiness(address).await, Some(StatusCode::OK));
-    signal(&fleet, "node-1", "-TERM");
-    wait::until("a node that leaves", || async {
+    send_signal(&fleet, "node-1", "-TERM");
+    wait::until("readiness 503 during shutdown", || async {
         let status = readiness(address).await?;
         (status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
     .await;
 }
 
-/// A node that was told of a control that never lived is told of the right one while it runs.
+/// A node that starts with the address of a control that does not exist picks up the right one
+/// while it runs, with SIGHUP or without.
 #[tokio::test(flavor = "multi_thread")]
 async fn controls_changed() {
     for is_signalled in [true, false] {
         let mut fleet = fleet::Fleet::new(support::DAEMON);
         fleet.add_controls("brasov-a", &["control-1"]).await;
         fleet.add_node("brasov-a", "node-1").await;
-        let right = fleet.instance("node-1").settings["control"].clone();
-        let wrong = free_address().await;
-        fleet.instance("node-1").settings["control"] = json!([wrong]);
+        let right_addresses = fleet.instance("node-1").settings["control"].clone();
+        let wrong_address = free_address().await;
+        fleet.instance("node-1").settings["control"] = json!([wrong_address]);
         fleet.start(&["control-1"], &["--bootstrap"]).await;
         fleet.start(&["node-1"], &[]).await;
-        fleet.instance("node-1").settings["control"] = right;
+        fleet.instance("node-1").settings["control"] = right_addresses;
         let text = fleet.instance("node-1").settings.to_string();
         let path = fleet.folder().join("node-1.jsonc");
         std::fs::write(path, text).expect("the folder is writable");
         if is_signalled {
-            signal(&fleet, "node-1", "-HUP");
+            send_signal(&fleet, "node-1", "-HUP");
         }
         support::apply_first_change(&fleet).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn faulty_file_left() {
+async fn faulty_file_ignored() {
     let fleet = support::start_small_fleet().await;
     let path = fleet.folder().join("node-1.jsonc");
     std::fs::write(path, "{").expect("the folder is writable");
-    signal(&fleet, "node-1", "-HUP");
-    let line = wait::until("a line of the log", || async {
+    send_signal(&fleet, "node-1", "-HUP");
+    let line = wait::until("the log line on the failed reload", || async {
         let log = fleet.log("node-1");
         let line = log
             .lines()
@@ -97,6 +98,6 @@
     assert!(line.contains("HZ1001"), "{line}");
     assert!(
         fleet.read("node-1", "/v1/status").await.is_some(),
-        "it goes on"
+        "the node still answers"
     );
 }
--- a/tests/all/replication.rs
+++ b/tests/all/replication.rs
@@ -109,8 +109,8 @@
     }
 }
 
-/// A group keeps serving without one voter, so operators would not notice the loss unless the leader
-/// reports it in its log and metrics.
+/// A group keeps serving without one voter, so operators would not notice the loss unless the
+/// leader reports it in its log and metrics.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_voter_reported() {
     let mut fleet = control_group::start_group(|_| {}).await;
--- a/tests/all/revision.rs
+++ b/tests/all/revision.rs
@@ -1,4 +1,4 @@
-//! The whole catalogue replaced by one document, through separate processes.
+//! Replacement of the whole catalogue by a labelled document.
 
 use std::process::Command;
 
@@ -9,8 +9,8 @@
 
 const CONTROLS: [&str; 3] = ["control-1", "control-2", "control-3"];
 
-/// A group that found itself: every control has the same settings, and any may be started again.
-async fn founded() -> fleet::Fleet {
+/// Starts a fleet whose controls bootstrap by a setting, which stays the same for later starts.
+async fn start_bootstrapped_fleet() -> fleet::Fleet {
     let mut fleet = fleet::Fleet::new(support::DAEMON);
     fleet.add_controls("brasov-a", &CONTROLS).await;
     fleet.add_node("brasov-a", "node-1").await;
@@ -24,7 +24,7 @@
     fleet
 }
 
-fn file(fleet: &fleet::Fleet, name: &str, class: &str) -> std::path::PathBuf {
+fn write_document(fleet: &fleet::Fleet, name: &str, class: &str) -> std::path::PathBuf {
     let document = json!({"put": [
         {"kind": "owner", "name": "registru", "owner": "registru", "class": "counter"},
         {"kind": "class", "name": "counter", "owner": "registru", "class": "counter"},
@@ -35,7 +35,7 @@
     path
 }
 
-fn tool(fleet: &mut fleet::Fleet, arguments: &[&str]) -> (Option<i32>, String) {
+fn run_tool(fleet: &mut fleet::Fleet, arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hazeltiller"));
     command.args(arguments);
     for name in CONTROLS {
@@ -44,66 +44,66 @@
     }
     let output = command.output().expect("the command line tool runs");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    let faults = String::from_utf8_lossy(&output.stderr).into_owned();
-    (output.status.code(), text + &faults)
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    (output.status.code(), text + &errors)
 }
 
-async fn replace(
+async fn replace_catalogue(
     fleet: &mut fleet::Fleet,
     label: &str,
     base: &str,
     path: &str,
 ) -> (Option<i32>, String) {
-    // Until the group has a leader the honest answer is that the change was not run.
+    // Until the group has elected a leader, the change is refused as not run.
     for _ in 0..400 {
-        let answer = tool(fleet, &["apply", "--replace", label, "--base", base, path]);
+        let answer = run_tool(fleet, &["apply", "--replace", label, "--base", base, path]);
         if !answer.1.contains("HZ4003") && !answer.1.contains("HZ4001") {
             return answer;
         }
         tokio::time::sleep(std::time::Duration::from_millis(25)).await;
     }
-    panic!("the group never had a leader");
+    panic!("the group elected no leader");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn replaced_by_tool() {
-    let mut fleet = founded().await;
-    let first = file(&fleet, "first.jsonc", "first");
-    let second = file(&fleet, "second.jsonc", "second");
+async fn catalogue_replaced() {
+    let mut fleet = start_bootstrapped_fleet().await;
+    let first = write_document(&fleet, "first.jsonc", "first");
+    let second = write_document(&fleet, "second.jsonc", "second");
     let (first, second) = (first.display().to_string(), second.display().to_string());
-    let (code, text) = replace(&mut fleet, "4", "0", &first).await;
+    let (code, text) = replace_catalogue(&mut fleet, "4", "0", &first).await;
     assert_eq!(code, Some(0), "{text}");
-    let (code, text) = replace(&mut fleet, "4", "0", &first).await;
-    assert_eq!(code, Some(0), "sent again it is known: {text}");
-    let (code, text) = replace(&mut fleet, "9", "3", &second).await;
+    let (code, text) = replace_catalogue(&mut fleet, "4", "0", &first).await;
+    assert_eq!(code, Some(0), "a resend succeeds: {text}");
+    let (code, text) = replace_catalogue(&mut fleet, "9", "3", &second).await;
     assert!(code == Some(1) && text.contains("HZ2012"), "{text}");
-    let (code, text) = replace(&mut fleet, "4", "4", &second).await;
+    let (code, text) = replace_catalogue(&mut fleet, "4", "4", &second).await;
     assert!(code == Some(1) && text.contains("HZ2013"), "{text}");
-    let (code, text) = replace(&mut fleet, "9", "4", &second).await;
+    let (code, text) = replace_catalogue(&mut fleet, "9", "4", &second).await;
     assert_eq!(code, Some(0), "{text}");
-    let (code, text) = tool(&mut fleet, &["revision"]);
+    let (code, text) = run_tool(&mut fleet, &["revision"]);
     assert_eq!(code, Some(0), "{text}");
     let read: Value = serde_json::from_str(&text).expect("the document is JSON");
-    let written = std::fs::read_to_string(&second).expect("it was written");
+    let written = std::fs::read_to_string(&second).expect("the file is readable");
     assert_eq!(
         read,
-        serde_json::from_str::<Value>(&written).expect("it is JSON")
+        serde_json::from_str::<Value>(&written).expect("the file is JSON")
     );
     fleet.wait_version(&["node-1"], 2).await;
-    let gone = fleet.read("node-1", "/v1/catalogue/class/first").await;
-    let gone = gone.expect("the node answers");
+    let removed = fleet.read("node-1", "/v1/catalogue/class/first").await;
+    let removed = removed.expect("the node answers");
     assert_eq!(
-        gone["code"], "HZ2009",
-        "nothing of the first is left: {gone}"
+        removed["code"], "HZ2009",
+        "an entry of the first document is left: {removed}"
     );
 }
 
-/// `bootstrap` may stay true in the settings: what is in the folder holds.
+/// `bootstrap` may stay true in the settings: a control with data in its folder ignores it.
 #[tokio::test(flavor = "multi_thread")]
-async fn founded_once() {
-    let mut fleet = founded().await;
-    let path = file(&fleet, "first.jsonc", "first");
-    let (code, text) = replace(&mut fleet, "1", "0", &path.display().to_string()).await;
+async fn bootstrap_ignored_later() {
+    let mut fleet = start_bootstrapped_fleet().await;
+    let path = write_document(&fleet, "first.jsonc", "first");
+    let (code, text) = replace_catalogue(&mut fleet, "1", "0", &path.display().to_string()).await;
     assert_eq!(code, Some(0), "{text}");
     fleet.kill(&CONTROLS).await;
     fleet.start(&CONTROLS, &[]).await;
--- a/tests/all/seeing.rs
+++ b/tests/all/seeing.rs
@@ -1,4 +1,4 @@
-//! The time line over several processes.
+//! Observability across processes: timeline, metrics and logs.
 
 use std::process::Command;
 
@@ -17,7 +17,7 @@
     fleet.add_node("sibiu-a", "node-2").await;
     fleet.start(&["control-1"], &["--bootstrap"]).await;
     fleet.start(&["node-1", "node-2"], &[]).await;
-    wait::until("the first change", || async {
+    wait::until("acceptance of the first change", || async {
         let (status, _) = fleet.change("control-1", &support::first_change()).await?;
         (status == 200).then_some(())
     })
@@ -26,8 +26,9 @@
     fleet
 }
 
-/// Runs the command over every process, and one address where nobody listens.
-fn timeline(fleet: &mut fleet::Fleet, arguments: &[&str]) -> (Vec<Value>, String) {
+/// Runs the `timeline` command against every process and one address where nothing listens. Returns
+/// the events and the text on standard error.
+fn read_timeline(fleet: &mut fleet::Fleet, arguments: &[&str]) -> (Vec<Value>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hazeltiller"));
     command.args(["timeline", "--output", "json", "--operators", "127.0.0.1:9"]);
     for name in ["control-1", "node-1", "node-2"] {
@@ -39,19 +40,19 @@
         .output()
         .expect("the command line tool runs");
     assert!(output.status.success(), "{output:?}");
-    let text = String::from_utf8(output.stdout).expect("it prints text");
+    let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
     let events = text
         .lines()
-        .map(|line| serde_json::from_str(line).expect("each line is an event"));
-    let errors = String::from_utf8(output.stderr).expect("it prints text");
+        .map(|line| serde_json::from_str(line).expect("each line is a JSON event"));
+    let errors = String::from_utf8(output.stderr).expect("the output is UTF-8");
     (events.collect(), errors)
 }
 
-fn steps(events: &[Value]) -> Vec<(&str, &str)> {
+fn instance_kinds(events: &[Value]) -> Vec<(&str, &str)> {
     events
         .iter()
         .map(|event| {
-            let text = |name: &str| event[name].as_str().expect("each event has it");
+            let text = |name: &str| event[name].as_str().expect("each event has the field");
             (text("instance"), text("kind"))
         })
         .collect()
@@ -60,12 +61,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn change_followed() {
     let mut fleet = start_fleet().await;
-    let (events, errors) = timeline(&mut fleet, &["--version", "1"]);
-    let steps = steps(&events);
-    assert_eq!(steps[0], ("control-1", "change_proposed"), "{events:?}");
-    assert!(steps.contains(&("control-1", "change_accepted")));
+    let (events, errors) = read_timeline(&mut fleet, &["--version", "1"]);
+    let instance_kinds = instance_kinds(&events);
+    assert_eq!(
+        instance_kinds[0],
+        ("control-1", "change_proposed"),
+        "{events:?}"
+    );
+    assert!(instance_kinds.contains(&("control-1", "change_accepted")));
     for name in ["control-1", "node-1", "node-2"] {
-        let in_force = steps
+        let in_force = instance_kinds
             .iter()
             .filter(|step| **step == (name, "version_in_force"));
         assert_eq!(in_force.count(), 1, "{name}: {events:?}");
@@ -84,24 +89,24 @@
     })
     .await;
     let id = answer.headers()["hazeltiller-request"].to_str();
-    let id = id.expect("an id is printable").to_owned();
+    let id = id.expect("the id is printable ASCII").to_owned();
     let events = wait::until("the end of the run", || {
-        let (events, _) = timeline(&mut fleet, &["--request", &id]);
-        let is_over = events.iter().any(|event| event["kind"] == "run_done");
-        async move { is_over.then_some(events) }
+        let (events, _) = read_timeline(&mut fleet, &["--request", &id]);
+        let has_ended = events.iter().any(|event| event["kind"] == "run_done");
+        async move { has_ended.then_some(events) }
     })
     .await;
-    let mut found = steps(&events);
-    let way = [
+    let mut found = instance_kinds(&events);
+    let expected = [
         ("node-1", "call_arrived"),
         ("node-1", "call_tried"),
         ("node-2", "call_offered"),
         ("node-2", "call_run"),
         ("node-1", "call_answered"),
     ];
-    // The end of the run at the owner node and the answer at the ingress node race each other.
+    // The end of the run at the owner node and the answer at the ingress node are not ordered.
     found.retain(|step| *step != ("node-2", "run_done"));
-    assert_eq!(found, way, "each cause before its consequence");
+    assert_eq!(found, expected, "events are in causal order");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -110,14 +115,14 @@
     let _target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
     let ask = |path: &'static str| {
         let request = Request::get(path).body(Full::default());
-        fleet.ask("node-1", "callers", request.expect("it is a path"))
+        fleet.ask("node-1", "callers", request.expect("a valid request URI"))
     };
     wait::until("an answer through the other node", || async {
         let response = ask("/vehicles/7").await?;
         (response.status() == StatusCode::OK).then_some(())
     })
     .await;
-    ask("/nowhere").await.expect("a refusal is an answer");
+    ask("/nowhere").await.expect("the node answers");
     let rows = hazeltiller_daemon::metrics::ProcessMetrics::rows();
     let table = [
         (
@@ -157,7 +162,7 @@
             let response = fleet.ask(name, "operators", request).await?;
             let text = String::from_utf8(response.body().to_vec()).ok()?;
             for head in text.lines().filter(|line| line.starts_with("# HELP ")) {
-                let named = head.split(' ').nth(2).expect("a name follows");
+                let named = head.split(' ').nth(2).expect("a metric name follows");
                 assert!(rows.iter().any(|row| row.name == named), "{head}");
             }
             text.contains(line).then_some(())
@@ -174,15 +179,15 @@
         .body(Full::default());
     let request = request.expect("a valid request URI");
     let answer = fleet.ask("node-1", "callers", request).await;
-    let answer = answer.expect("a refusal is an answer");
+    let answer = answer.expect("the node answers");
     assert_eq!(answer.headers()["hazeltiller-request"], "caller-7");
-    let (events, _) = timeline(&mut fleet, &["--request", "caller-7"]);
+    let (events, _) = read_timeline(&mut fleet, &["--request", "caller-7"]);
     assert_eq!(
-        steps(&events),
+        instance_kinds(&events),
         [("node-1", "call_arrived"), ("node-1", "call_refused")]
     );
     assert_eq!(events[1]["code"], "HZ3001");
-    let line = wait::until("a line of the log", || async {
+    let line = wait::until("the log line of the refusal", || async {
         let log = fleet.log("node-1");
         let line = log.lines().find(|line| {
             line.contains(r#""request":"caller-7""#) && line.contains("call_refused")
@@ -190,7 +195,7 @@
         Some(line.to_owned())
     })
     .await;
-    let line: serde_json::Value = serde_json::from_str(&line).expect("a line is an object");
+    let line: serde_json::Value = serde_json::from_str(&line).expect("the line is a JSON object");
     assert_eq!(
         (&line["kind"], &line["code"], &line["instance"]),
         (&"call_refused".into(), &"HZ3001".into(), &"node-1".into())
@@ -208,7 +213,7 @@
     );
 }
 
-/// Runs that come to nothing stand in the sums of their route, at the node of their target.
+/// Failed runs are counted in the usage of their route, at the node of their target.
 #[tokio::test(flavor = "multi_thread")]
 async fn slots_accounted() {
     let mut fleet = start_fleet().await;
@@ -217,31 +222,31 @@
         answer: behaviour::AnswerForm::Failing,
         ..behaviour::StandInBehaviour::default()
     });
-    wait::until("a failed run", || async {
+    wait::until("the answer of the failed run", || async {
         let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
         let response = fleet.ask("node-1", "callers", request).await?;
         (response.status() == StatusCode::INTERNAL_SERVER_ERROR).then_some(())
     })
     .await;
-    let line = wait::until("the sums of its second", || async {
+    let line = wait::until("the usage of the route in the log", || async {
         let log = fleet.log("node-2");
         let line = log.lines().find(|line| line.contains("route_usage"))?;
         Some(line.to_owned())
     })
     .await;
-    let line: Value = serde_json::from_str(&line).expect("a line is an object");
+    let line: Value = serde_json::from_str(&line).expect("the line is a JSON object");
     assert_eq!(line["route"], "lookup", "{line}");
     assert!(line["failed"].as_u64() >= Some(1), "{line}");
     assert_eq!((&line["in_time"], &line["late"]), (&0.into(), &0.into()));
 }
 
-/// A line longer than what a pipe takes at once is left out and its place marked; no line is cut.
+/// A log line longer than an atomic pipe write is replaced by a marker; no line is truncated.
 #[tokio::test(flavor = "multi_thread")]
-async fn lines_bounded() {
+async fn log_lines_bounded() {
     let mut fleet = start_fleet().await;
     let path = format!("/vehicles/{}", "x".repeat(10_000));
     let request = Request::get(path).body(Full::default());
-    let request = request.expect("it is a path");
+    let request = request.expect("a valid request URI");
     let answer = fleet.ask("node-1", "callers", request).await;
     assert_eq!(
         answer.expect("the node answers").status(),
@@ -252,6 +257,6 @@
     assert!(log.contains("line_oversize"), "{log}");
     for line in log.lines().filter(|line| line.starts_with('{')) {
         assert!(line.len() < 4096);
-        serde_json::from_str::<Value>(line).expect("each line is whole");
+        serde_json::from_str::<Value>(line).expect("each line is complete JSON");
     }
 }
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Waits until each control reports the last acknowledged roll-out, or a later one, as finished.
+    /// Waits until each control reports the last acknowledged roll-out, or a later one, as
+    /// finished.
     async fn wait_for_rollout_end(&self) {
         if self.ordered_version == 0 {
             return;
--- a/tests/all/streaming.rs
+++ b/tests/all/streaming.rs
@@ -1,4 +1,5 @@
-//! Bodies both ways, trailers, deadlines, and calls that their callers give up.
+//! Streamed bodies in both directions, trailers, deadlines, back pressure and callers that
+//! disconnect.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,16 +26,16 @@
 
 type EchoBody = UnsyncBoxBody<Bytes, hyper::Error>;
 
-/// A target that answers with the body it is sent, piece by piece, trailers too.
-async fn echo_target(node: SocketAddr) {
+/// Starts a target that streams the body and trailers of each request back as its response.
+async fn start_echo_target(node: SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("the listener is bound");
     tokio::spawn(async move {
         while let Ok((stream, _from)) = listener.accept().await {
             let echo = service::service_fn(|request: Request<Incoming>| async move {
                 let mut response = Response::new(request.into_body().boxed_unsync());
-                let names = response.headers_mut();
-                names.insert("trailer", "x-sum".parse().expect("it is a header's value"));
+                let header_map = response.headers_mut();
+                header_map.insert("trailer", "x-sum".parse().expect("a valid header value"));
                 Ok::<Response<EchoBody>, Infallible>(response)
             });
             let server = server::conn::http1::Builder::new();
@@ -44,31 +45,31 @@
     raw::announce(node, "echo", address, "ready").await;
 }
 
-type Pieces = channel::Channel<Bytes, Infallible>;
+type BodyChannel = channel::Channel<Bytes, Infallible>;
 
-async fn connected(address: SocketAddr, is_h2: bool) -> Sender {
+async fn open_connection(address: SocketAddr, is_h2: bool) -> CallerConnection {
     let stream = TcpStream::connect(address).await.expect("the node listens");
     let stream = rt::TokioIo::new(stream);
     if is_h2 {
         let handshake = http2::handshake(rt::TokioExecutor::new(), stream).await;
         let (sender, connection) = handshake.expect("the node speaks HTTP/2");
         tokio::spawn(connection);
-        Sender::H2(sender)
+        CallerConnection::H2(sender)
     } else {
         let handshake = http1::handshake(stream).await;
         let (sender, connection) = handshake.expect("the node speaks HTTP/1.1");
         tokio::spawn(connection);
-        Sender::H1(sender)
+        CallerConnection::H1(sender)
     }
 }
 
-enum Sender {
-    H1(http1::SendRequest<Pieces>),
-    H2(http2::SendRequest<Pieces>),
+enum CallerConnection {
+    H1(http1::SendRequest<BodyChannel>),
+    H2(http2::SendRequest<BodyChannel>),
 }
 
-impl Sender {
-    async fn send(&mut self, request: Request<Pieces>) -> hyper::Result<Response<Incoming>> {
+impl CallerConnection {
+    async fn send(&mut self, request: Request<BodyChannel>) -> hyper::Result<Response<Incoming>> {
         match self {
             Self::H1(sender) => sender.send_request(request).await,
             Self::H2(sender) => sender.send_request(request).await,
@@ -77,12 +78,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn both_ways() {
+async fn bidirectional_streaming() {
     let mut fleet = support::start_small_fleet().await;
     fleet.add_node("brasov-a", "node-2").await;
     fleet.start(&["node-2"], &[]).await;
     fleet.wait_version(&["node-2"], 1).await;
-    echo_target(fleet.instance("node-1").addresses["target"]).await;
+    start_echo_target(fleet.instance("node-1").addresses["target"]).await;
     support::wait_for_routing(&fleet, "node-2").await;
     for (node, is_h2) in [
         ("node-1", false),
@@ -91,44 +92,51 @@
         ("node-2", true),
     ] {
         let callers = fleet.instance(node).addresses["callers"];
-        let mut sender = connected(callers, is_h2).await;
-        let (mut pieces, body) = channel::Channel::<Bytes, Infallible>::new(1);
+        let mut sender = open_connection(callers, is_h2).await;
+        let (mut body_sender, body) = channel::Channel::<Bytes, Infallible>::new(1);
         let request = Request::post("http://registru/certificates/9")
             .header("host", "registru")
             .header("te", "trailers")
             .header("trailer", "x-sum")
             .body(body);
         let writer = tokio::spawn(async move {
-            pieces
+            body_sender
                 .send_data(Bytes::from("first"))
                 .await
-                .expect("the call is open");
-            pieces
+                .expect("the request body is open");
+            body_sender
         });
         let response = sender.send(request.expect("a valid request")).await;
         let mut answer = response
-            .expect("an answer begins before the request ends")
+            .expect("the response begins before the request body ends")
             .into_body();
-        let first = answer.frame().await.expect("a piece").expect("a sound one");
+        let first = answer
+            .frame()
+            .await
+            .expect("a body frame")
+            .expect("the body is readable");
         assert_eq!(
-            first.into_data().expect("data"),
+            first.into_data().expect("a data frame"),
             "first",
             "{node} h2={is_h2}"
         );
-        let mut pieces = writer.await.expect("the writer does not panic");
-        pieces
+        let mut body_sender = writer.await.expect("the writer task does not panic");
+        body_sender
             .send_data(Bytes::from("second"))
             .await
-            .expect("the call is open");
+            .expect("the request body is open");
         let mut trailers = HeaderMap::new();
-        trailers.insert("x-sum", "11".parse().expect("it is a header's value"));
-        pieces
+        trailers.insert("x-sum", "11".parse().expect("a valid header value"));
+        body_sender
             .send_trailers(trailers)
             .await
-            .expect("the call is open");
-        drop(pieces);
-        let rest = answer.collect().await.expect("the answer is whole");
-        let trailers = rest.trailers().cloned().expect("trailers passed both ways");
+            .expect("the request body is open");
+        drop(body_sender);
+        let rest = answer.collect().await.expect("the response is complete");
+        let trailers = rest
+            .trailers()
+            .cloned()
+            .expect("the response has the trailers");
         assert_eq!(trailers["x-sum"], "11", "{node} h2={is_h2}");
         assert_eq!(rest.to_bytes(), "second");
     }
@@ -139,15 +147,15 @@
     let mut fleet = support::start_small_fleet().await;
     let node = fleet.instance("node-1").addresses["target"];
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let written = Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let written_bytes = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     raw::announce(
         node,
         "endless",
-        listener.local_addr().expect("bound"),
+        listener.local_addr().expect("the listener is bound"),
         "ready",
     )
     .await;
-    let count = Arc::clone(&written);
+    let count = Arc::clone(&written_bytes);
     tokio::spawn(async move {
         while let Ok((mut stream, _from)) = listener.accept().await {
             let count = Arc::clone(&count);
@@ -163,7 +171,7 @@
         }
     });
     let callers = fleet.instance("node-1").addresses["callers"];
-    let mut stream = wait::until("an answer that began", || async {
+    let mut stream = wait::until("the start of a response", || async {
         let mut stream = TcpStream::connect(callers).await.ok()?;
         let request = b"GET /vehicles/endless HTTP/1.1\r\nhost: a\r\n\r\n";
         stream.write_all(request).await.ok()?;
@@ -172,29 +180,29 @@
         (line.as_slice() == b"HTTP/1.1 200 OK").then_some(stream)
     })
     .await;
-    let stuck = wait::until("a target that is held back", || async {
-        let before = written.load(std::sync::atomic::Ordering::Relaxed);
+    let buffered_bytes = wait::until("back pressure on the target", || async {
+        let before = written_bytes.load(std::sync::atomic::Ordering::Relaxed);
         time::sleep(Duration::from_millis(300)).await;
-        let after = written.load(std::sync::atomic::Ordering::Relaxed);
+        let after = written_bytes.load(std::sync::atomic::Ordering::Relaxed);
         (before == after && before > 0).then_some(after)
     })
     .await;
     assert!(
-        stuck < 64 << 20,
-        "{stuck} bytes went out to a caller that does not read"
+        buffered_bytes < 64 << 20,
+        "{buffered_bytes} bytes were buffered for a caller that does not read"
     );
-    let mut piece = vec![0; 1 << 20];
+    let mut chunk = vec![0; 1 << 20];
     for _ in 0..64 {
         stream
-            .read_exact(&mut piece)
+            .read_exact(&mut chunk)
             .await
-            .expect("the answer goes on");
+            .expect("the response continues");
     }
     drop(stream);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_gone() {
+async fn caller_disconnects() {
     let mut fleet = support::start_small_fleet().await;
     fleet.add_node("brasov-a", "node-2").await;
     fleet.start(&["node-2"], &[]).await;
@@ -210,9 +218,9 @@
         let path = format!("/vehicles/{node}-{is_h2}");
         let callers = fleet.instance(node).addresses["callers"];
         wait::until("the request at the target", || async {
-            let mut sender = connected(callers, is_h2).await;
-            let (pieces, body) = channel::Channel::new(1);
-            drop(pieces);
+            let mut sender = open_connection(callers, is_h2).await;
+            let (body_sender, body) = channel::Channel::new(1);
+            drop(body_sender);
             let request = Request::get(format!("http://registru{path}"))
                 .header("host", "registru")
                 .body(body)
@@ -227,12 +235,12 @@
         })
         .await;
         let ended = time::timeout(wait::LONGEST_WAIT, silent.connection_ended.notified()).await;
-        ended.expect("the target's connection ends when its caller goes");
+        ended.expect("the target connection ends after the caller disconnects");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn deadline_over() {
+async fn deadline_exceeded() {
     let mut fleet = support::start_small_fleet().await;
     fleet.add_node("brasov-a", "node-2").await;
     fleet.start(&["node-2"], &[]).await;
@@ -240,7 +248,7 @@
     let node = fleet.instance("node-1").addresses["target"];
     let silent = raw::RawTarget::start(node, "silent", RawAnswer::Bytes("")).await;
     for node in ["node-1", "node-2"] {
-        let answer = wait::until("a target that is known", || async {
+        let answer = wait::until("a target that the node can reach", || async {
             let request = Request::get(format!("/vehicles/{node}"))
                 .header("hazeltiller-deadline-ms", "300")
                 .body(Full::default())
@@ -260,14 +268,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn large_bodies() {
     let mut fleet = support::start_small_fleet().await;
-    echo_target(fleet.instance("node-1").addresses["target"]).await;
+    start_echo_target(fleet.instance("node-1").addresses["target"]).await;
     support::wait_for_routing(&fleet, "node-1").await;
     let callers = fleet.instance("node-1").addresses["callers"];
     for size in [0, 1, 65_535, 65_536, 65_537, 3 << 20] {
         let body = Bytes::from(vec![b'x'; size]);
         let frames = body.chunks(10_000).map(Bytes::copy_from_slice);
         let frames: Vec<_> = frames
-            .map(|piece| Ok::<_, Infallible>(Frame::data(piece)))
+            .map(|chunk| Ok::<_, Infallible>(Frame::data(chunk)))
             .collect();
         let stream = TcpStream::connect(callers).await.expect("the node listens");
         let handshake = http1::handshake(rt::TokioIo::new(stream)).await;
@@ -277,13 +285,13 @@
             .header("host", "registru")
             .body(StreamBody::new(futures_util::stream::iter(frames)));
         let response = sender.send_request(request.expect("a valid request")).await;
-        let answer = response.expect("an answer").into_body().collect().await;
-        assert_eq!(answer.expect("a whole one").to_bytes().len(), size);
+        let answer = response.expect("a response").into_body().collect().await;
+        assert_eq!(answer.expect("a complete response").to_bytes().len(), size);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn few_connections() {
+async fn connection_limit() {
     let mut fleet = support::start_small_fleet().await;
     let node = fleet.instance("node-1").addresses["target"];
     let settings = hazeltiller_standin::settings::StandInSettings::builder(
@@ -302,10 +310,10 @@
         fleet.ask("node-1", "callers", request.expect("a valid request"))
     });
     for answer in futures_util::future::join_all(calls).await {
-        assert!(answer.is_some(), "each caller is answered");
+        assert!(answer.is_some(), "each request is answered");
     }
     assert!(
         target.log().most_running() <= 2,
-        "each run takes a connection"
+        "each run uses one connection"
     );
 }
--- a/tests/all/what_fails.rs
+++ b/tests/all/what_fails.rs
@@ -48,8 +48,9 @@
     (fleet, targets)
 }
 
-/// Waits until a node knows every member. Before that, groups of nodes that joined through different
-/// controls do not know each other, and discover each other only while a control is alive.
+/// Waits until a node knows every member. Before that, groups of nodes that joined through
+/// different controls do not know each other, and discover each other only while a control is
+/// alive.
 async fn wait_for_members(fleet: &fleet::Fleet, node: &str) {
     let all_instances = (CONTROLS.len() + NODES.len()) as u64;
     wait::until(&format!("every member at {node}"), || async {
@@ -275,8 +276,8 @@
             }
         }
     };
-    // The link between the data centres drops packets and a control is killed at the same time,
-    // so no majority is left.
+    // The links between the data centres stay open but forward nothing, and a control is killed
+    // at the same time, so no majority is left.
     set_partition(&fleet, proxy::FaultRule::Silent);
     fleet.kill(&["control-1"]).await;
     for node in NODES {
--- a/tests/all/whole_path.rs
+++ b/tests/all/whole_path.rs
@@ -1,4 +1,4 @@
-//! A change and a request on their whole way through separate processes.
+//! End-to-end paths of a change and of a request through separate processes.
 
 use bytes::Bytes;
 use hazeltiller_testkit::{fleet, wait};
@@ -17,8 +17,8 @@
     fleet
 }
 
-async fn first_version(fleet: &fleet::Fleet) {
-    let answer = wait::until("the first change", || async {
+async fn apply_first_version(fleet: &fleet::Fleet) {
+    let answer = wait::until("acceptance of the first change", || async {
         let (status, answer) = fleet.change("control-1", &support::first_change()).await?;
         (status == 200).then_some(answer)
     })
@@ -31,7 +31,7 @@
 async fn request_answered() {
     let mut fleet = start_fleet().await;
     let target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
-    first_version(&fleet).await;
+    apply_first_version(&fleet).await;
     let answer = wait::until("an answer through the other node", || async {
         let request = Request::post("/certificates/7")
             .body(Full::from("one body"))
@@ -52,19 +52,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn change_survives() {
     let mut fleet = start_fleet().await;
-    first_version(&fleet).await;
+    apply_first_version(&fleet).await;
     fleet.kill(&["control-1"]).await;
     fleet.start(&["control-1"], &[]).await;
     fleet.wait_version(&["control-1"], 1).await;
-    // Until the group has a leader again the honest answer is 503, not run.
-    let (status, again) = wait::until("a leader's answer", || async {
+    // Until the group has elected a leader, controls answer 503 with the outcome `not-run`.
+    let (status, resent) = wait::until("an answer of the leader", || async {
         let answer = fleet.change("control-1", &support::first_change()).await?;
         (answer.0 != 503).then_some(answer)
     })
     .await;
     assert_eq!(
-        (status, &again["version"]),
+        (status, &resent["version"]),
         (200, &1.into()),
-        "a resend gets the first answer"
+        "a resend gets the answer to the first change"
     );
 }
