--- a/tests/all/control_group.rs
+++ b/tests/all/control_group.rs
@@ -34,7 +34,7 @@
     .await
 }
 
-/// Sends a change to a control until it is accepted and returns the answer.
+/// Sends a change to a control until it is accepted and returns the response.
 pub(crate) async fn apply_change(fleet: &fleet::Fleet, name: &str, change: &Value) -> Value {
     wait::until("an accepted change", || async {
         let (status, answer) = fleet.change(name, change).await?;
--- a/tests/all/crashing.rs
+++ b/tests/all/crashing.rs
@@ -74,7 +74,7 @@
         earlier_crashes,
         "a quarantined request crashes no target"
     );
-    wait::until("an answer to another request", || async {
+    wait::until("a response to another request", || async {
         let (code, _) = send("node-1", "/certificates/7", "good").await;
         code.is_none().then_some(())
     })
--- a/tests/all/hygiene.rs
+++ b/tests/all/hygiene.rs
@@ -1,31 +1,31 @@
 //! HTTP message hygiene: request smuggling, hop-by-hop headers, reserved headers and truncated
-//! answers.
+//! responses.
 
 use hazeltiller_standin::behaviour;
 use hazeltiller_testkit::{fleet, proxy, wait};
 use serde_json::json;
 
 use crate::{
-    raw::{self, RawAnswer},
+    raw::{self, RawResponse},
     support,
 };
 
-const ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: x-private\r\n\
+const RAW_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: x-private\r\n\
     x-private: 1\r\nhazeltiller-code: HZ9\r\nhazeltiller-outcome: not-run\r\n\r\nok";
 
 const CLOSE_HEADER: &str = "connection: close\r\n";
 
 /// Starts a small fleet with a raw target at its node.
-async fn start_raw_target(answer: RawAnswer) -> (fleet::Fleet, raw::RawTarget) {
+async fn start_raw_target(response: RawResponse) -> (fleet::Fleet, raw::RawTarget) {
     let mut fleet = support::start_small_fleet().await;
     let node = fleet.instance("node-1").addresses["target"];
-    let target = raw::RawTarget::start(node, "raw", answer).await;
+    let target = raw::RawTarget::start(node, "raw", response).await;
     (fleet, target)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests() {
-    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
+    let (mut fleet, target) = start_raw_target(RawResponse::Bytes(RAW_RESPONSE)).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let many_lines = "x: 1\r\n".repeat(200);
     let large_line = format!("x: {}\r\n", "a".repeat(100_000));
@@ -73,8 +73,8 @@
             "POST /certificates/{} HTTP/1.1\r\nhost: a\r\nconnection: close\r\nx-row: 1\r\n{rest}",
             name.len()
         );
-        let answer = raw::exchange_bytes(callers, &request).await;
-        let line = answer.lines().next().unwrap_or_default();
+        let response = raw::exchange_bytes(callers, &request).await;
+        let line = response.lines().next().unwrap_or_default();
         assert!(line.contains(status), "{name}: {line:?}");
     }
     let received = target.received().await;
@@ -82,8 +82,8 @@
     assert!(!forwarded, "a bad request was forwarded: {received:?}");
 }
 
-/// When the link between two nodes breaks in the middle of a small answer, only that answer fails:
-/// the caller gets a 502 and still gets the answers to the requests pipelined after it.
+/// When the link between two nodes breaks in the middle of a small response, only that response
+/// fails: the caller gets a 502 and still gets the responses to the requests pipelined after it.
 #[tokio::test(flavor = "multi_thread")]
 async fn link_lost_midway() {
     let mut fleet = fleet::Fleet::new(support::DAEMON);
@@ -106,16 +106,16 @@
         GET /nowhere HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     // The first round breaks a link that was already open, the second one a new link.
     for round in 0..2 {
-        let answers = raw::exchange_bytes(callers, requests).await;
-        let heads = answers.split("HTTP/1.1 ").skip(1);
+        let responses = raw::exchange_bytes(callers, requests).await;
+        let heads = responses.split("HTTP/1.1 ").skip(1);
         let statuses: Vec<&str> = heads.filter_map(|head| head.split(' ').next()).collect();
-        assert_eq!(statuses, ["502", "404"], "round {round}: {answers:.300}");
+        assert_eq!(statuses, ["502", "404"], "round {round}: {responses:.300}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn conflicting_framing() {
-    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
+    let (mut fleet, target) = start_raw_target(RawResponse::Bytes(RAW_RESPONSE)).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let rows = [
         "content-length: 3\r\ntransfer-encoding: chunked\r\n",
@@ -127,10 +127,10 @@
             "POST {path} HTTP/1.1\r\nhost: a\r\n{framing}\r\n5\r\nhello\r\n0\r\n\r\n\
              GET /smuggled HTTP/1.1\r\nhost: a\r\n\r\n"
         );
-        let answer = raw::exchange_bytes(callers, &request).await;
+        let response = raw::exchange_bytes(callers, &request).await;
         assert!(
-            !answer.contains("404"),
-            "the smuggled request was served: {answer}"
+            !response.contains("404"),
+            "the smuggled request was served: {response}"
         );
         let received = raw::wait_for_request(&target, &path).await.to_lowercase();
         let head = received.split(&path).nth(1).expect("the path was received");
@@ -145,14 +145,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn reserved_headers() {
-    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
+    let (mut fleet, target) = start_raw_target(RawResponse::Bytes(RAW_RESPONSE)).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let request = "GET /vehicles/own HTTP/1.1\r\nhost: a\r\nconnection: close, x-hop\r\n\
         x-hop: 1\r\nkeep-alive: 5\r\nproxy-connection: x\r\nhazeltiller-offer: 00\r\n\
         hazeltiller-load: 00\r\nhazeltiller-target: forged\r\nhazeltiller-code: HZ1\r\n\
         hz-o: 00\r\nhz-t: 00\r\nhz-l: 00\r\nhz-r: 00\r\nhz-c: 00\r\n\
         hazeltiller-deadline-ms: 1500\r\nx-mine: kept\r\n\r\n";
-    let answer = raw::exchange_bytes(callers, request).await.to_lowercase();
+    let response = raw::exchange_bytes(callers, request).await.to_lowercase();
     let received = raw::wait_for_request(&target, "/vehicles/own")
         .await
         .to_lowercase();
@@ -177,15 +177,15 @@
         "a remaining deadline of {remaining_ms} ms"
     );
     for removed in ["x-private", "hz9", "not-run", "-load", "-offer", "hz-"] {
-        assert!(!answer.contains(removed), "{removed} in {answer}");
+        assert!(!response.contains(removed), "{removed} in {response}");
     }
-    assert!(answer.contains("hazeltiller-target: raw"), "{answer}");
+    assert!(response.contains("hazeltiller-target: raw"), "{response}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn truncated_answers() {
+async fn truncated_responses() {
     let table = [
-        // Larger than the answers that the node buffers completely before it forwards them.
+        // Larger than the responses that the node buffers completely before it forwards them.
         (
             "length",
             "HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\npart",
@@ -196,46 +196,46 @@
         ),
     ];
     for (name, bytes) in table {
-        let (mut fleet, _target) = start_raw_target(RawAnswer::BytesThenClose(bytes)).await;
+        let (mut fleet, _target) = start_raw_target(RawResponse::BytesThenClose(bytes)).await;
         let callers = fleet.instance("node-1").addresses["callers"];
-        let answer = wait::until("the start of an answer", || async {
+        let response = wait::until("the start of a response", || async {
             let request = "GET /vehicles/cut HTTP/1.1\r\nhost: a\r\n\r\n";
-            let answer = raw::exchange_bytes(callers, request).await;
-            answer.starts_with("HTTP/1.1 200").then_some(answer)
+            let response = raw::exchange_bytes(callers, request).await;
+            response.starts_with("HTTP/1.1 200").then_some(response)
         })
         .await;
         assert!(
-            !answer.contains("\r\n0\r\n"),
-            "{name}: the truncated answer looks complete: {answer}"
+            !response.contains("\r\n0\r\n"),
+            "{name}: the truncated response looks complete: {response}"
         );
-        let (head, body) = answer
+        let (head, body) = response
             .split_once("\r\n\r\n")
-            .expect("the answer has a head");
+            .expect("the response has a head");
         let is_short = head.contains("content-length: 99999") && body.len() < 99_999;
-        assert!(is_short || head.contains("chunked"), "{name}: {answer}");
+        assert!(is_short || head.contains("chunked"), "{name}: {response}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn buffered_answers() {
+async fn buffered_responses() {
     let table = [
         ("length", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart"),
-        ("no answer", "HTTP/1.1 200"),
+        ("no response", "HTTP/1.1 200"),
     ];
     for (name, bytes) in table {
-        let (mut fleet, target) = start_raw_target(RawAnswer::BytesThenClose(bytes)).await;
+        let (mut fleet, target) = start_raw_target(RawResponse::BytesThenClose(bytes)).await;
         let callers = fleet.instance("node-1").addresses["callers"];
         let request = format!("POST /certificates/held HTTP/1.1\r\nhost: a\r\n{CLOSE_HEADER}\r\n");
-        let answer = wait::until("the refusal for the failed target", || async {
-            let answer = raw::exchange_bytes(callers, &request).await;
-            answer.contains("HZ3007").then_some(answer)
+        let response = wait::until("the refusal for the failed target", || async {
+            let response = raw::exchange_bytes(callers, &request).await;
+            response.contains("HZ3007").then_some(response)
         })
         .await;
-        // No part of the answer is forwarded, and the outcome is not reported as not run.
-        assert!(answer.starts_with("HTTP/1.1 502"), "{name}: {answer}");
+        // No part of the response is forwarded, and the outcome is not reported as not run.
+        assert!(response.starts_with("HTTP/1.1 502"), "{name}: {response}");
         assert!(
-            answer.contains("hazeltiller-outcome: unknown"),
-            "{name}: {answer}"
+            response.contains("hazeltiller-outcome: unknown"),
+            "{name}: {response}"
         );
         let received = target.received().await;
         assert!(!received.is_empty(), "{name}: the request was not sent");
@@ -250,8 +250,8 @@
     let request = format!(
         "POST /v1/announce HTTP/1.1\r\nhost: a\r\n{CLOSE_HEADER}content-length: 5000\r\n\r\n{body}"
     );
-    let answer = raw::exchange_bytes(node, &request).await;
-    assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
+    let response = raw::exchange_bytes(node, &request).await;
+    assert!(response.starts_with("HTTP/1.1 400"), "{response}");
 }
 
 /// Chunk data that ends like a message head or a chunked body is forwarded unchanged, with a single
@@ -263,21 +263,21 @@
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n7\r\n0\r\n\r\nok\r\n0\r\n\r\n",
     ];
     for bytes in table {
-        let (mut fleet, _target) = start_raw_target(RawAnswer::Bytes(bytes)).await;
+        let (mut fleet, _target) = start_raw_target(RawResponse::Bytes(bytes)).await;
         let callers = fleet.instance("node-1").addresses["callers"];
         let request = format!("GET /vehicles/chunks HTTP/1.1\r\nhost: a\r\n{CLOSE_HEADER}\r\n");
-        let answer = wait::until("an answer", || async {
-            let answer = raw::exchange_bytes(callers, &request).await;
-            answer.starts_with("HTTP/1.1 200").then_some(answer)
+        let response = wait::until("a response", || async {
+            let response = raw::exchange_bytes(callers, &request).await;
+            response.starts_with("HTTP/1.1 200").then_some(response)
         })
         .await;
         let sent_body = bytes
             .split_once("\r\n\r\n")
-            .expect("the answer has a head")
+            .expect("the response has a head")
             .1;
-        let received_body = answer
+        let received_body = response
             .split_once("\r\n\r\n")
-            .expect("the answer has a head")
+            .expect("the response has a head")
             .1;
         assert_eq!(received_body, sent_body);
     }
@@ -285,7 +285,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests() {
-    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
+    let (mut fleet, target) = start_raw_target(RawResponse::Bytes(RAW_RESPONSE)).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let requests: String = ["one", "two", "three"]
         .map(|name| {
@@ -293,12 +293,12 @@
             format!("GET /vehicles/{name} HTTP/1.1\r\nhost: a\r\n{close}\r\n")
         })
         .concat();
-    let answer = wait::until("three answers", || async {
-        let answer = raw::exchange_bytes(callers, &requests).await;
-        (answer.matches("HTTP/1.1 200 OK").count() == 3).then_some(answer)
+    let response = wait::until("three responses", || async {
+        let response = raw::exchange_bytes(callers, &requests).await;
+        (response.matches("HTTP/1.1 200 OK").count() == 3).then_some(response)
     })
     .await;
-    assert_eq!(answer.matches("\r\n\r\nok").count(), 3, "{answer}");
+    assert_eq!(response.matches("\r\n\r\nok").count(), 3, "{response}");
     let received = target.received().await.concat();
     for name in ["one", "two", "three"] {
         assert!(received.contains(name), "{name} was not forwarded");
@@ -309,7 +309,7 @@
 /// their connections to the target.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipeline_abandoned() {
-    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes("")).await;
+    let (mut fleet, target) = start_raw_target(RawResponse::Bytes("")).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let request = |name: &str| format!("GET /vehicles/{name} HTTP/1.1\r\nhost: a\r\n\r\n");
     let mut stream = tokio::net::TcpStream::connect(callers)
@@ -330,12 +330,15 @@
 /// target does not receive a truncated one as complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn chunks_over_limit() {
-    let (mut fleet, target) = start_raw_target(RawAnswer::Bytes(ANSWER)).await;
+    let (mut fleet, target) = start_raw_target(RawResponse::Bytes(RAW_RESPONSE)).await;
     let limits = json!({"put": [{"kind": "listener", "name": "callers", "owner": "registru",
         "class": "counter", "limits": {"body_bytes": 1000}}], "remove": [],
         "change_id": "limits", "expects": 1});
-    let (status, answer) = fleet.change("control-1", &limits).await.expect("an answer");
-    assert_eq!(status, 200, "{answer}");
+    let (status, response) = fleet
+        .change("control-1", &limits)
+        .await
+        .expect("a response");
+    assert_eq!(status, 200, "{response}");
     fleet.wait_version(&["node-1"], 2).await;
     let callers = fleet.instance("node-1").addresses["callers"];
     let chunk = |bytes: usize| format!("{bytes:x}\r\n{}\r\n", "x".repeat(bytes));
@@ -350,10 +353,10 @@
             "POST {path} HTTP/1.1\r\nhost: a\r\n{CLOSE_HEADER}transfer-encoding: chunked\r\n\r\n\
             {chunks}0\r\n\r\n"
         );
-        let answer = raw::exchange_bytes(callers, &request).await;
+        let response = raw::exchange_bytes(callers, &request).await;
         assert!(
-            answer.starts_with(&format!("HTTP/1.1 {expected}")),
-            "{path}: {answer}"
+            response.starts_with(&format!("HTTP/1.1 {expected}")),
+            "{path}: {response}"
         );
     }
     let received = target.received().await.concat();
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -86,7 +86,7 @@
 }
 
 /// Runs `callers` closed-loop callers for each path until `count` requests in all were answered.
-/// Returns the number of answers by path, and the refusals.
+/// Returns the number of responses by path, and the refusals.
 async fn overload(
     fleet: &fleet::Fleet,
     paths: &[&'static str],
--- a/tests/all/links.rs
+++ b/tests/all/links.rs
@@ -128,14 +128,15 @@
     sent.map(|response| response.status())
 }
 
-/// A keepalive answer can be late on a busy link; the calls on it must not fail before the timeout.
+/// A keepalive response can be late on a busy link; the calls on it must not fail before the
+/// timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_keepalive_tolerated() {
     let answered = call_blocking_node(Duration::from_secs(600)).await;
     assert_eq!(answered.expect("the call succeeds"), StatusCode::OK);
 }
 
-/// Calls on a link without a keepalive answer fail, and are not reported as not run.
+/// Calls on a link without a keepalive response fail, and are not reported as not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn missing_keepalive_fails() {
     let answered = call_blocking_node(Duration::from_millis(1)).await;
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -24,7 +24,7 @@
 /// Outcome that a sender received for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum ReceivedOutcome {
-    Answer(String),
+    Response(String),
     Refusal { code: String, outcome: String },
     NoResponse,
 }
@@ -94,7 +94,7 @@
             wait::until(&format!("a run through {node}"), || async {
                 let key = format!("ready-{}", rand::random::<u64>());
                 let received = self.send(node, &key).await;
-                matches!(received, ReceivedOutcome::Answer(_)).then_some(())
+                matches!(received, ReceivedOutcome::Response(_)).then_some(())
             })
             .await;
         }
@@ -135,7 +135,7 @@
             _ => {
                 assert_eq!(runs, 1, "{key} was answered but did not run once");
                 let body = String::from_utf8_lossy(response.body()).into_owned();
-                ReceivedOutcome::Answer(body)
+                ReceivedOutcome::Response(body)
             }
         }
     }
@@ -170,7 +170,7 @@
         let text = |name: &str| response.headers().get(name)?.to_str().ok();
         match (text("hazeltiller-code"), text("hazeltiller-outcome")) {
             (Some(code), Some(outcome)) => ReceivedOutcome::refusal(code, outcome),
-            _ => ReceivedOutcome::Answer(String::from_utf8_lossy(response.body()).into_owned()),
+            _ => ReceivedOutcome::Response(String::from_utf8_lossy(response.body()).into_owned()),
         }
     }
 
@@ -196,11 +196,11 @@
         scenario.send("node-2", "at-once"),
         scenario.send("node-3", "at-once"),
     );
-    assert!(matches!(one, ReceivedOutcome::Answer(_)), "{one:?}");
+    assert!(matches!(one, ReceivedOutcome::Response(_)), "{one:?}");
     assert_eq!(
         (&one, &one),
         (&two, &three),
-        "all senders receive the same answer"
+        "all senders receive the same response"
     );
     for node in NODES {
         let again = scenario.send(node, "at-once").await;
@@ -210,13 +210,13 @@
         .send_to("node-1", "at-once", "/certificates/8")
         .await;
     assert!(
-        matches!(other, ReceivedOutcome::Answer(_)) && other != one,
+        matches!(other, ReceivedOutcome::Response(_)) && other != one,
         "another request: {other:?}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_lost() {
+async fn response_lost() {
     let mut scenario = FaultScenario::start().await;
     let callers = scenario.fleet.instance("node-1").addresses["callers"];
     for (index, node) in NODES.iter().enumerate() {
@@ -227,10 +227,10 @@
         let request = request.expect("a valid request");
         let sending = hazeltiller_standin::client::exchange(callers, request);
         let gone = time::timeout(Duration::from_millis(RUN_LATENCY_MS / 4), sending).await;
-        assert!(gone.is_err(), "the caller disconnects before the answer");
+        assert!(gone.is_err(), "the caller disconnects before the response");
         let received = scenario.send(node, &key).await;
-        let ReceivedOutcome::Answer(_) = received else {
-            panic!("the stored answer is not returned through {node}: {received:?}");
+        let ReceivedOutcome::Response(_) = received else {
+            panic!("the stored response is not returned through {node}: {received:?}");
         };
     }
     // The link between the ingress node and the node of the target.
@@ -305,7 +305,7 @@
         let after = format!("after-{row}");
         let answer = scenario.send("node-1", &after).await;
         assert!(
-            matches!(answer, ReceivedOutcome::Answer(_)),
+            matches!(answer, ReceivedOutcome::Response(_)),
             "{after}: {answer:?}"
         );
         // A later claim over the same links proves that the controls have recorded the end of the
@@ -321,7 +321,7 @@
         assert_eq!(
             received == ran,
             killed.contains(&"node-1"),
-            "{after}: the answer is lost only with the ingress node"
+            "{after}: the response is lost only with the ingress node"
         );
         scenario.restart(killed).await;
         scenario.wait_until_ready(&NODES).await;
@@ -331,7 +331,7 @@
         let received = scenario.send("node-3", &before).await;
         let is_down = killed.contains(&"node-2");
         assert_eq!(
-            matches!(received, ReceivedOutcome::Answer(_)),
+            matches!(received, ReceivedOutcome::Response(_)),
             !is_down,
             "{before}: {received:?}"
         );
@@ -339,11 +339,11 @@
         scenario.wait_until_ready(&NODES).await;
         let received = wait::until("a resend after the restart", || async {
             let received = scenario.send("node-1", &before).await;
-            matches!(received, ReceivedOutcome::Answer(_)).then_some(received)
+            matches!(received, ReceivedOutcome::Response(_)).then_some(received)
         })
         .await;
         assert!(
-            matches!(received, ReceivedOutcome::Answer(_)),
+            matches!(received, ReceivedOutcome::Response(_)),
             "{before}: the resend is run"
         );
     }
@@ -353,7 +353,7 @@
 async fn node_partitioned() {
     let scenario = FaultScenario::start().await;
     let first = scenario.send("node-1", "before-cut").await;
-    assert!(matches!(first, ReceivedOutcome::Answer(_)), "{first:?}");
+    assert!(matches!(first, ReceivedOutcome::Response(_)), "{first:?}");
     for rule in [proxy::FaultRule::Cut, proxy::FaultRule::Silent] {
         for control in CONTROLS {
             scenario.fleet.set_pair("node-3", control, rule);
@@ -373,7 +373,7 @@
             .ask("node-3", "callers", lookup.expect("a valid request"))
             .await;
         assert_eq!(
-            answer.expect("an answer").status(),
+            answer.expect("a response").status(),
             200,
             "idempotent requests need no control"
         );
@@ -384,7 +384,7 @@
         }
         let received = wait::until("an answered resend after the partition", || async {
             let received = scenario.send("node-3", &key).await;
-            matches!(received, ReceivedOutcome::Answer(_)).then_some(received)
+            matches!(received, ReceivedOutcome::Response(_)).then_some(received)
         })
         .await;
         assert_eq!(scenario.send("node-1", &key).await, received);
@@ -397,7 +397,7 @@
     let mut scenario = FaultScenario::start().await;
     scenario.fleet.kill(&["control-3"]).await;
     let first = scenario.send("node-1", "one-lost").await;
-    assert!(matches!(first, ReceivedOutcome::Answer(_)), "{first:?}");
+    assert!(matches!(first, ReceivedOutcome::Response(_)), "{first:?}");
     scenario.fleet.kill(&["control-2"]).await;
     let received = scenario.send("node-1", "two-lost").await;
     assert_eq!(received, ReceivedOutcome::refusal("HZ3013", "unknown"));
@@ -432,7 +432,7 @@
 async fn emptied_while_bootstrapping() {
     let mut scenario = FaultScenario::start().await;
     let first = scenario.send("node-1", "kept").await;
-    assert!(matches!(first, ReceivedOutcome::Answer(_)), "{first:?}");
+    assert!(matches!(first, ReceivedOutcome::Response(_)), "{first:?}");
     let emptied = ["control-2", "control-3"];
     scenario.fleet.kill(&emptied).await;
     for control in emptied {
--- a/tests/all/raw.rs
+++ b/tests/all/raw.rs
@@ -14,7 +14,7 @@
 
 /// How a raw target answers each request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RawAnswer {
+pub(crate) enum RawResponse {
     /// Writes these bytes after a request head and keeps the connection open.
     Bytes(&'static str),
     /// Writes these bytes after a request head and closes the connection.
@@ -31,7 +31,7 @@
 
 impl RawTarget {
     /// Starts a target and announces it as target `name` of the service `registru`.
-    pub(crate) async fn start(node: SocketAddr, name: &str, answer: RawAnswer) -> Self {
+    pub(crate) async fn start(node: SocketAddr, name: &str, response: RawResponse) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("the listener is bound");
         let target = Self {
@@ -41,14 +41,14 @@
         let server = target.clone();
         tokio::spawn(async move {
             while let Ok((stream, _from)) = listener.accept().await {
-                tokio::spawn(server.clone().serve(stream, answer));
+                tokio::spawn(server.clone().serve(stream, response));
             }
         });
         announce(node, name, address, "ready").await;
         target
     }
 
-    async fn serve(self, mut stream: TcpStream, answer: RawAnswer) {
+    async fn serve(self, mut stream: TcpStream, response: RawResponse) {
         let index = {
             let mut received = self.received.lock().await;
             received.push(String::new());
@@ -64,9 +64,9 @@
             if !text.contains("\r\n\r\n") {
                 continue;
             }
-            match answer {
-                RawAnswer::Bytes(bytes) => drop(stream.write_all(bytes.as_bytes()).await),
-                RawAnswer::BytesThenClose(bytes) => {
+            match response {
+                RawResponse::Bytes(bytes) => drop(stream.write_all(bytes.as_bytes()).await),
+                RawResponse::BytesThenClose(bytes) => {
                     drop(stream.write_all(bytes.as_bytes()).await);
                     break;
                 }
@@ -89,18 +89,18 @@
         "connections": 130, "state": state, "lease_ms": 60_000,
     });
     let request = Request::post("/v1/announce").body(Full::from(text.to_string()));
-    let answer =
+    let response =
         hazeltiller_standin::client::exchange(node, request.expect("a valid request URI")).await;
-    assert_eq!(answer.expect("the node answers").status(), 200);
+    assert_eq!(response.expect("the node answers").status(), 200);
 }
 
 /// Sends bytes on a new connection and returns everything received until the peer closes it.
 pub(crate) async fn exchange_bytes(to: SocketAddr, bytes: &str) -> String {
     let mut stream = TcpStream::connect(to).await.expect("the node listens");
     drop(stream.write_all(bytes.as_bytes()).await);
-    let mut answer = Vec::new();
-    drop(stream.read_to_end(&mut answer).await);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    drop(stream.read_to_end(&mut response).await);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 /// Waits until a connection of the target has received `pattern` and returns all text of it.
--- a/tests/all/replication.rs
+++ b/tests/all/replication.rs
@@ -58,7 +58,7 @@
                     break;
                 }
                 503 | 504 => {}
-                status => panic!("unexpected answer to the only writer: {status} {answer}"),
+                status => panic!("unexpected response to the only writer: {status} {answer}"),
             }
         }
         version += 1;
--- a/tests/all/rollouts.rs
+++ b/tests/all/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs ordered with the command line tool: success, automatic rollback and abort.
+//! Rollouts ordered with the command line tool: success, automatic rollback and abort.
 
 use std::{net::SocketAddr, process::Output, time::Duration};
 
@@ -15,7 +15,7 @@
 const NEW_TARGETS: [&str; 2] = ["new-1", "new-2"];
 /// Pause between two calls of the load.
 const CALL_PAUSE: Duration = Duration::from_millis(2);
-/// Calls sent after the end of a roll-out to check which targets they reach.
+/// Calls sent after the end of a rollout to check which targets they reach.
 const CHECKED_CALLS: u64 = 50;
 /// Calls that a failing version may get on top of a tenth of all calls.
 const CANARY_SLACK: usize = 50;
@@ -105,7 +105,7 @@
     assert_eq!(
         run_count(old),
         at_old,
-        "old targets get no calls after the roll-out"
+        "old targets get no calls after the rollout"
     );
     assert!(run_count(new) >= at_new + CHECKED_CALLS as usize);
 }
@@ -136,7 +136,7 @@
     let (code, text, failed) = watch_under_load(&mut fleet).await;
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("succeeded"), "{text}");
-    assert_eq!(failed, 0, "calls failed during the roll-out: {text}");
+    assert_eq!(failed, 0, "calls failed during the rollout: {text}");
     check_new_targets_only(&mut fleet, &old, &new).await;
 }
 
--- a/tests/all/seeing.rs
+++ b/tests/all/seeing.rs
@@ -82,7 +82,7 @@
 async fn request_followed() {
     let mut fleet = start_fleet().await;
     let _target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
-    let answer = wait::until("an answer through the other node", || async {
+    let answer = wait::until("a response through the other node", || async {
         let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
         let response = fleet.ask("node-1", "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(response)
@@ -104,7 +104,7 @@
         ("node-2", "call_run"),
         ("node-1", "call_answered"),
     ];
-    // The end of the run at the owner node and the answer at the ingress node are not ordered.
+    // The end of the run at the owner node and the response at the ingress node are not ordered.
     found.retain(|step| *step != ("node-2", "run_done"));
     assert_eq!(found, expected, "events are in causal order");
 }
@@ -117,7 +117,7 @@
         let request = Request::get(path).body(Full::default());
         fleet.ask("node-1", "callers", request.expect("a valid request URI"))
     };
-    wait::until("an answer through the other node", || async {
+    wait::until("a response through the other node", || async {
         let response = ask("/vehicles/7").await?;
         (response.status() == StatusCode::OK).then_some(())
     })
@@ -222,7 +222,7 @@
         answer: behaviour::AnswerForm::Failing,
         ..behaviour::StandInBehaviour::default()
     });
-    wait::until("the answer of the failed run", || async {
+    wait::until("the response of the failed run", || async {
         let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
         let response = fleet.ask("node-1", "callers", request).await?;
         (response.status() == StatusCode::INTERNAL_SERVER_ERROR).then_some(())
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -32,7 +32,7 @@
 /// Log entries after which a control writes a snapshot. The number is small so that a few changes
 /// reach the snapshot while a directory at the path of its temporary file makes the write fail.
 const SNAPSHOT_ENTRIES: u64 = 16;
-/// Time limit of a roll-out, in milliseconds.
+/// Time limit of a rollout, in milliseconds.
 const ROLLOUT_TIMEOUT_MS: u64 = 4000;
 const DEFAULT_SEED: u64 = 7;
 /// Seeds that have failed before and run on each check.
@@ -55,7 +55,7 @@
     /// Highest catalogue version seen, by instance and process id.
     seen_versions: IndexMap<(String, u32), u64>,
     target_count: usize,
-    /// Catalogue version created by the last acknowledged roll-out order; 0 if there is none.
+    /// Catalogue version created by the last acknowledged rollout order; 0 if there is none.
     ordered_version: u64,
 }
 
@@ -164,7 +164,7 @@
         self.targets.push(target);
     }
 
-    /// Orders a roll-out to a new version whose targets, by chance, all succeed or all fail.
+    /// Orders a rollout to a new version whose targets, by chance, all succeed or all fail.
     async fn order_rollout(&mut self) {
         let version = format!("v{}", self.target_count);
         let answer = if self.random.random_bool(0.5) {
@@ -187,14 +187,14 @@
         }
     }
 
-    /// Waits until each control reports the last acknowledged roll-out, or a later one, as
+    /// Waits until each control reports the last acknowledged rollout, or a later one, as
     /// finished.
     async fn wait_for_rollout_end(&self) {
         if self.ordered_version == 0 {
             return;
         }
         for control in CONTROLS {
-            wait::until("the end of the roll-out", || async {
+            wait::until("the end of the rollout", || async {
                 let latest = self.fleet.read(control, "/v1/rollouts/registru").await?;
                 let is_over = ["succeeded", "rolled_back"].contains(&latest["phase"].as_str()?);
                 (latest["order"].as_u64()? >= self.ordered_version && is_over).then_some(())
--- a/tests/all/streaming.rs
+++ b/tests/all/streaming.rs
@@ -20,7 +20,7 @@
 };
 
 use crate::{
-    raw::{self, RawAnswer},
+    raw::{self, RawResponse},
     support,
 };
 
@@ -208,7 +208,7 @@
     fleet.start(&["node-2"], &[]).await;
     fleet.wait_version(&["node-2"], 1).await;
     let node = fleet.instance("node-1").addresses["target"];
-    let silent = raw::RawTarget::start(node, "silent", RawAnswer::Bytes("")).await;
+    let silent = raw::RawTarget::start(node, "silent", RawResponse::Bytes("")).await;
     for (node, is_h2) in [
         ("node-1", false),
         ("node-2", false),
@@ -246,7 +246,7 @@
     fleet.start(&["node-2"], &[]).await;
     fleet.wait_version(&["node-2"], 1).await;
     let node = fleet.instance("node-1").addresses["target"];
-    let silent = raw::RawTarget::start(node, "silent", RawAnswer::Bytes("")).await;
+    let silent = raw::RawTarget::start(node, "silent", RawResponse::Bytes("")).await;
     for node in ["node-1", "node-2"] {
         let answer = wait::until("a target that the node can reach", || async {
             let request = Request::get(format!("/vehicles/{node}"))
--- a/tests/all/what_fails.rs
+++ b/tests/all/what_fails.rs
@@ -1,5 +1,5 @@
 //! Required failure scenarios, alone and combined: mass node failure, unavailable controls, missed
-//! changes, lost answers, partitions.
+//! changes, lost responses, partitions.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -85,7 +85,7 @@
 }
 
 async fn wait_for_ok(fleet: &fleet::Fleet, node: &str) {
-    wait::until(&format!("an answer through {node}"), || async {
+    wait::until(&format!("a response through {node}"), || async {
         let request = Request::get("/vehicles/1").body(Full::default()).ok()?;
         let response = fleet.ask(node, "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(())
@@ -162,8 +162,8 @@
     }
     let report = loading.await.expect("the load generator does not panic");
     let verdict = &report.verdict;
-    // Killing a process truncates the answers that pass through it, which their callers detect.
-    // Each answer that a caller accepts as complete must be complete and its own.
+    // Killing a process truncates the responses that pass through it, which their callers detect.
+    // Each response that a caller accepts as complete must be complete and its own.
     let faults = [
         verdict.doubled,
         verdict.crossed,
@@ -221,7 +221,7 @@
     wait_for_ok(&fleet, "node-4").await;
 }
 
-/// Sends a change and closes the connection without reading the answer.
+/// Sends a change and closes the connection without reading the response.
 async fn send_without_reading(address: SocketAddr, change: &Value) {
     let body = change.to_string();
     let head = format!(
@@ -236,7 +236,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_lost() {
+async fn responses_lost() {
     let (mut fleet, _targets) = start_fleet().await;
     let mut version = 1;
     for number in 0..LOST_ANSWER_COUNT {
--- a/tests/all/whole_path.rs
+++ b/tests/all/whole_path.rs
@@ -32,7 +32,7 @@
     let mut fleet = start_fleet().await;
     let target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
     apply_first_version(&fleet).await;
-    let answer = wait::until("an answer through the other node", || async {
+    let answer = wait::until("a response through the other node", || async {
         let request = Request::post("/certificates/7")
             .body(Full::from("one body"))
             .ok()?;
@@ -57,7 +57,7 @@
     fleet.start(&["control-1"], &[]).await;
     fleet.wait_version(&["control-1"], 1).await;
     // Until the group has elected a leader, controls answer 503 with the outcome `not-run`.
-    let (status, resent) = wait::until("an answer of the leader", || async {
+    let (status, resent) = wait::until("a response of the leader", || async {
         let answer = fleet.change("control-1", &support::first_change()).await?;
         (answer.0 != 503).then_some(answer)
     })
@@ -65,6 +65,6 @@
     assert_eq!(
         (status, &resent["version"]),
         (200, &1.into()),
-        "a resend gets the answer to the first change"
+        "a resend gets the response to the first change"
     );
 }
