--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -49,7 +49,7 @@
         /// The claimed call.
         call: hazeltiller_units::ids::CallId,
         /// The answer; `None` if it is too large to be stored.
-        answer: Option<wire::KeptAnswer>,
+        answer: Option<wire::StoredAnswer>,
     },
 }
 
--- a/crates/engine/src/ledger/acceptor.rs
+++ b/crates/engine/src/ledger/acceptor.rs
@@ -34,7 +34,7 @@
     claims: IndexMap<wire::RequestDigest, AcceptedClaim>,
     expiry_order: VecDeque<(time::MonotonicTime, wire::RequestDigest, wire::ClaimId)>,
     /// Whether the claims file may lack claims that were granted earlier.
-    standing: wire::ClaimsStanding,
+    standing: wire::ClaimsCompleteness,
     pending_grants: VecDeque<PendingGrant>,
     /// Records to be written with the next tick or claim; nothing waits for their sync.
     pending_records: Vec<wire::ClaimRecord>,
@@ -51,7 +51,7 @@
     /// of the control group proves that no earlier folder of this control can have granted any.
     pub fn recover(
         stored: IndexMap<wire::RequestDigest, wire::StoredClaim>,
-        standing: wire::ClaimsStanding,
+        standing: wire::ClaimsCompleteness,
     ) -> Self {
         let start = time::MonotonicTime::default();
         let expiry_order = stored
@@ -88,7 +88,7 @@
 
     /// Whether a new claim can be stored and granted, given the largest number of claims.
     fn can_accept(&self, max_claims: usize) -> bool {
-        self.standing == wire::ClaimsStanding::Whole
+        self.standing == wire::ClaimsCompleteness::Whole
             && self.store_failure.is_none()
             && self.claims.len() < max_claims
     }
@@ -167,10 +167,11 @@
     acceptor.expire(now, retention);
     let is_retention_over = now.since(time::MonotonicTime::default()) >= retention;
     let is_proven_complete =
-        acceptor.standing == wire::ClaimsStanding::Unproven && is_founding_replica;
-    if acceptor.standing != wire::ClaimsStanding::Whole && (is_retention_over || is_proven_complete)
+        acceptor.standing == wire::ClaimsCompleteness::Unproven && is_founding_replica;
+    if acceptor.standing != wire::ClaimsCompleteness::Whole
+        && (is_retention_over || is_proven_complete)
     {
-        acceptor.standing = wire::ClaimsStanding::Whole;
+        acceptor.standing = wire::ClaimsCompleteness::Whole;
         let record = wire::ClaimRecord::Standing(acceptor.standing);
         acceptor.pending_records.push(record);
     }
--- a/crates/engine/src/retry.rs
+++ b/crates/engine/src/retry.rs
@@ -157,7 +157,7 @@
 fn was_sent(refusal: &wire::CallRefusal) -> bool {
     matches!(
         refusal.code,
-        code::ResultCode::TargetDeclined | code::ResultCode::TargetMisplaced
+        code::ResultCode::TargetDeclined | code::ResultCode::WrongTarget
     )
 }
 
--- a/crates/engine/tests/replication/network.rs
+++ b/crates/engine/tests/replication/network.rs
@@ -205,7 +205,7 @@
                 if let Some(to) = receiver.filter(|_| is_replication) {
                     let bytes = codec::encoded_size(&message);
                     assert!(
-                        bytes < codec::LARGEST_FRAME,
+                        bytes < codec::MAX_FRAME_BYTES,
                         "{bytes} bytes exceed the largest frame"
                     );
                     let from = self.controls[index].state.settings.identity.clone();
@@ -252,7 +252,10 @@
             version >= self.controls[index].version,
             "the catalogue version decreased"
         );
-        assert!(log.committed().is_sound(), "the digest matches the content");
+        assert!(
+            log.committed().has_valid_digest(),
+            "the digest matches the content"
+        );
         for (id, receipt) in &self.acknowledged {
             if receipt.version <= version {
                 let stored = log.accepted(id).map(|accepted| &accepted.receipt);
--- a/tests/all/crashing.rs
+++ b/tests/all/crashing.rs
@@ -35,7 +35,7 @@
             .body(Full::from(body))
             .expect("a valid request");
         let answer = fleet
-            .ask(node, "callers", request)
+            .send_request(node, "callers", request)
             .await
             .expect("a response");
         let text = |name: &str| {
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -262,7 +262,7 @@
     let (_sender, mut connection) = opened.expect("the node speaks HTTP/2");
     // Drives the connection until the handshake is complete; nothing reads it after that.
     drop(time::timeout(HANDSHAKE_TIME, &mut connection).await);
-    let exit = time::timeout(wait::LONGEST_WAIT, fleet.stop("node-2")).await;
+    let exit = time::timeout(wait::WAIT_TIMEOUT, fleet.stop("node-2")).await;
     assert_eq!(exit, Ok(Some(0)));
     drop(connection);
 }
--- a/tests/all/failing_disk.rs
+++ b/tests/all/failing_disk.rs
@@ -46,7 +46,7 @@
     version = apply_next_change(&fleet, healthy_control, version).await;
     std::fs::remove_dir(&blocking_folder).expect("the folder is empty");
     fleet.kill(&[emptied_control]).await;
-    fleet.empty_data(emptied_control);
+    fleet.delete_data(emptied_control);
     fleet.start(&[emptied_control], &[]).await;
     version = apply_next_change(&fleet, healthy_control, version).await;
     fleet.wait_version(&CONTROLS, version).await;
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -82,7 +82,7 @@
 
 async fn get(fleet: &fleet::Fleet, path: &str) -> Option<Response<Bytes>> {
     let request = Request::get(path).body(Full::default()).ok()?;
-    fleet.ask("node-1", "callers", request).await
+    fleet.send_request("node-1", "callers", request).await
 }
 
 /// Runs `callers` closed-loop callers for each path until `count` requests in all were answered.
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -117,7 +117,7 @@
             .header("hazeltiller-deadline-ms", DEADLINE_MS)
             .body(Full::from("certificate"))
             .expect("a valid request");
-        let Some(response) = self.fleet.ask(node, "callers", request).await else {
+        let Some(response) = self.fleet.send_request(node, "callers", request).await else {
             return ReceivedOutcome::NoResponse;
         };
         let text = |name: &str| {
@@ -236,13 +236,13 @@
     // The link between the ingress node and the node of the target.
     let received = scenario
         .send_with("node-1", "link", async |fleet| {
-            fleet.set_pair("node-1", "node-2", proxy::FaultRule::Cut);
+            fleet.set_pair_rule("node-1", "node-2", proxy::FaultRule::Cut);
         })
         .await;
     assert_eq!(received, ReceivedOutcome::refusal("HZ3016", "unknown"));
     scenario
         .fleet
-        .set_pair("node-1", "node-2", proxy::FaultRule::Pass);
+        .set_pair_rule("node-1", "node-2", proxy::FaultRule::Pass);
     for node in NODES {
         let received = scenario.send(node, "link").await;
         assert_eq!(
@@ -356,7 +356,7 @@
     assert!(matches!(first, ReceivedOutcome::Response(_)), "{first:?}");
     for rule in [proxy::FaultRule::Cut, proxy::FaultRule::Silent] {
         for control in CONTROLS {
-            scenario.fleet.set_pair("node-3", control, rule);
+            scenario.fleet.set_pair_rule("node-3", control, rule);
         }
         let key = format!("cut-{rule:?}");
         for key in [key.as_str(), "before-cut"] {
@@ -370,7 +370,7 @@
         let lookup = Request::get("/vehicles/1").body(Full::default());
         let answer = scenario
             .fleet
-            .ask("node-3", "callers", lookup.expect("a valid request"))
+            .send_request("node-3", "callers", lookup.expect("a valid request"))
             .await;
         assert_eq!(
             answer.expect("a response").status(),
@@ -380,7 +380,7 @@
         for control in CONTROLS {
             scenario
                 .fleet
-                .set_pair("node-3", control, proxy::FaultRule::Pass);
+                .set_pair_rule("node-3", control, proxy::FaultRule::Pass);
         }
         let received = wait::until("an answered resend after the partition", || async {
             let received = scenario.send("node-3", &key).await;
@@ -415,7 +415,7 @@
     );
     // A control with an empty disk grants no claims, so a majority still needs the old disks.
     scenario.fleet.kill(&["control-1", "control-2"]).await;
-    scenario.fleet.empty_data("control-1");
+    scenario.fleet.delete_data("control-1");
     scenario.fleet.start(&["control-1"], &[]).await;
     let received = scenario.send("node-1", "empty-disk").await;
     assert_eq!(received, ReceivedOutcome::refusal("HZ3013", "unknown"));
@@ -436,7 +436,7 @@
     let emptied = ["control-2", "control-3"];
     scenario.fleet.kill(&emptied).await;
     for control in emptied {
-        scenario.fleet.empty_data(control);
+        scenario.fleet.delete_data(control);
         scenario.fleet.instance(control).settings["bootstrap"] = json!(true);
     }
     scenario.fleet.start(&emptied, &[]).await;
--- a/tests/all/pages.rs
+++ b/tests/all/pages.rs
@@ -114,7 +114,7 @@
     assert!(
         found_faults
             .iter()
-            .any(|fault| fault.contains("is \"data_centre\" meant?")),
+            .any(|fault| fault.contains("did you mean \"data_centre\"?")),
         "{found_faults:?}"
     );
     assert_eq!(found_faults.len(), paths.len() + 1);
--- a/tests/all/parts.rs
+++ b/tests/all/parts.rs
@@ -56,7 +56,7 @@
 async fn wait_for_ended_task(
     watch: &mut critical_tasks::TaskMonitor,
 ) -> critical_tasks::CriticalTask {
-    tokio::time::timeout(wait::LONGEST_WAIT, watch.ended())
+    tokio::time::timeout(wait::WAIT_TIMEOUT, watch.ended())
         .await
         .expect("the end of a task is reported")
 }
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -49,7 +49,7 @@
     let mut rest = Vec::new();
     let closing = stream.read_to_end(&mut rest);
     // A read error is a reset, which also ends the connection.
-    let closed = tokio::time::timeout(wait::LONGEST_WAIT, closing).await;
+    let closed = tokio::time::timeout(wait::WAIT_TIMEOUT, closing).await;
     closed.is_ok()
 }
 
@@ -110,7 +110,9 @@
         .expect("the key is right");
     let oversized = u32::MAX.to_le_bytes().to_vec();
     let garbage = [&4_u32.to_le_bytes()[..], &[0, 0xff, 0xff, 0xff]].concat();
-    let oversized_greeting = (wire::LARGEST_GREETING as u32 + 1).to_le_bytes().to_vec();
+    let oversized_greeting = (wire::MAX_HANDSHAKE_FRAME_BYTES as u32 + 1)
+        .to_le_bytes()
+        .to_vec();
     // Bytes to send, and whether to complete the handshake first. The last row sends one byte and
     // then nothing.
     let table = [
@@ -149,7 +151,7 @@
     assert!(status.is_some(), "the process still answers");
     let request = Request::get("/metrics").body(Full::default());
     let request = request.expect("a valid request URI");
-    let metrics = fleet.ask("control-1", "operators", request).await;
+    let metrics = fleet.send_request("control-1", "operators", request).await;
     let metrics = metrics.expect("the process is running").into_body();
     let text = String::from_utf8_lossy(&metrics).into_owned();
     // Five connections sent malformed frames, and one timed out in the handshake.
--- a/tests/all/replication.rs
+++ b/tests/all/replication.rs
@@ -125,7 +125,7 @@
     let reporter = control_group::wait_for_log_line(&fleet, &event_fields("voter_silent", 2)).await;
     let request = Request::get("/metrics").body(Full::default());
     let request = request.expect("a valid request URI");
-    let answer = fleet.ask(reporter, "operators", request).await;
+    let answer = fleet.send_request(reporter, "operators", request).await;
     let metrics = answer.expect("the process is running").into_body();
     let metrics = str::from_utf8(&metrics).expect("metrics are UTF-8");
     assert!(metrics.contains(r#"hazeltiller_voters{state="silent"} 1"#));
@@ -235,7 +235,7 @@
         .filter(|name| *name != retained)
         .collect();
     fleet.kill(&[others[0]]).await;
-    fleet.empty_data(others[0]);
+    fleet.delete_data(others[0]);
     // `--bootstrap` has no effect, because the group already exists.
     fleet.start(&[others[0]], &["--bootstrap"]).await;
     fleet.wait_version(&CONTROLS, 1).await;
@@ -304,7 +304,9 @@
         }
         let request = request.body(Full::from(change.to_string()));
         let request = request.expect("a valid request URI");
-        let response = fleet.ask("control-2", "operators", request).await?;
+        let response = fleet
+            .send_request("control-2", "operators", request)
+            .await?;
         Some(response.status().as_u16())
     };
     let mut first = support::first_change();
--- a/tests/all/seeing.rs
+++ b/tests/all/seeing.rs
@@ -84,7 +84,7 @@
     let _target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
     let answer = wait::until("a response through the other node", || async {
         let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
-        let response = fleet.ask("node-1", "callers", request).await?;
+        let response = fleet.send_request("node-1", "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(response)
     })
     .await;
@@ -115,7 +115,7 @@
     let _target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
     let ask = |path: &'static str| {
         let request = Request::get(path).body(Full::default());
-        fleet.ask("node-1", "callers", request.expect("a valid request URI"))
+        fleet.send_request("node-1", "callers", request.expect("a valid request URI"))
     };
     wait::until("a response through the other node", || async {
         let response = ask("/vehicles/7").await?;
@@ -159,7 +159,7 @@
     for (name, line) in table {
         wait::until(line, || async {
             let request = Request::get("/metrics").body(Full::default()).ok()?;
-            let response = fleet.ask(name, "operators", request).await?;
+            let response = fleet.send_request(name, "operators", request).await?;
             let text = String::from_utf8(response.body().to_vec()).ok()?;
             for head in text.lines().filter(|line| line.starts_with("# HELP ")) {
                 let named = head.split(' ').nth(2).expect("a metric name follows");
@@ -178,7 +178,7 @@
         .header("hazeltiller-request", "caller-7")
         .body(Full::default());
     let request = request.expect("a valid request URI");
-    let answer = fleet.ask("node-1", "callers", request).await;
+    let answer = fleet.send_request("node-1", "callers", request).await;
     let answer = answer.expect("the node answers");
     assert_eq!(answer.headers()["hazeltiller-request"], "caller-7");
     let (events, _) = read_timeline(&mut fleet, &["--request", "caller-7"]);
@@ -224,7 +224,7 @@
     });
     wait::until("the response of the failed run", || async {
         let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
-        let response = fleet.ask("node-1", "callers", request).await?;
+        let response = fleet.send_request("node-1", "callers", request).await?;
         (response.status() == StatusCode::INTERNAL_SERVER_ERROR).then_some(())
     })
     .await;
@@ -247,7 +247,7 @@
     let path = format!("/vehicles/{}", "x".repeat(10_000));
     let request = Request::get(path).body(Full::default());
     let request = request.expect("a valid request URI");
-    let answer = fleet.ask("node-1", "callers", request).await;
+    let answer = fleet.send_request("node-1", "callers", request).await;
     assert_eq!(
         answer.expect("the node answers").status(),
         StatusCode::SERVICE_UNAVAILABLE
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -282,10 +282,10 @@
         if first == second {
             return;
         }
-        self.fleet.set_pair(first, second, rule);
+        self.fleet.set_pair_rule(first, second, rule);
         time::sleep(self.random_pause()).await;
         self.send_change().await;
-        self.fleet.set_pair(first, second, proxy::FaultRule::Pass);
+        self.fleet.set_pair_rule(first, second, proxy::FaultRule::Pass);
     }
 
     /// Makes the snapshot writes of a control fail while changes arrive.
@@ -309,7 +309,7 @@
         let control = self.pick(&CONTROLS);
         self.wait_for_full_replication().await;
         self.fleet.kill(&[control]).await;
-        self.fleet.empty_data(control);
+        self.fleet.delete_data(control);
         self.fleet.instance(control).settings["bootstrap"] = json!(false);
         time::sleep(self.random_pause()).await;
         self.fleet.start(&[control], &[]).await;
--- a/tests/all/streaming.rs
+++ b/tests/all/streaming.rs
@@ -234,7 +234,7 @@
                 .then_some(())
         })
         .await;
-        let ended = time::timeout(wait::LONGEST_WAIT, silent.connection_ended.notified()).await;
+        let ended = time::timeout(wait::WAIT_TIMEOUT, silent.connection_ended.notified()).await;
         ended.expect("the target connection ends after the caller disconnects");
     }
 }
@@ -253,7 +253,7 @@
                 .header("hazeltiller-deadline-ms", "300")
                 .body(Full::default())
                 .ok()?;
-            let answer = fleet.ask(node, "callers", request).await?;
+            let answer = fleet.send_request(node, "callers", request).await?;
             (answer.status() != 503).then_some(answer)
         })
         .await;
@@ -307,7 +307,7 @@
     support::wait_for_routing(&fleet, "node-1").await;
     let calls = (0..12).map(|number| {
         let request = Request::get(format!("/vehicles/{number}")).body(Full::default());
-        fleet.ask("node-1", "callers", request.expect("a valid request"))
+        fleet.send_request("node-1", "callers", request.expect("a valid request"))
     });
     for answer in futures_util::future::join_all(calls).await {
         assert!(answer.is_some(), "each request is answered");
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -99,7 +99,7 @@
 pub(crate) async fn wait_for_ok(fleet: &fleet::Fleet, path: &str) {
     wait::until("a successful response", || async {
         let request = Request::get(path).body(Full::default()).ok()?;
-        let response = fleet.ask("node-1", "callers", request).await?;
+        let response = fleet.send_request("node-1", "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(())
     })
     .await;
@@ -109,7 +109,7 @@
 pub(crate) async fn wait_for_routing(fleet: &fleet::Fleet, node: &str) {
     wait::until("a target that the node can reach", || async {
         let request = Request::get("/vehicles/ready").body(Full::default()).ok()?;
-        let response = fleet.ask(node, "callers", request).await?;
+        let response = fleet.send_request(node, "callers", request).await?;
         (response.status() != StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
     .await;
--- a/tests/all/what_fails.rs
+++ b/tests/all/what_fails.rs
@@ -87,7 +87,7 @@
 async fn wait_for_ok(fleet: &fleet::Fleet, node: &str) {
     wait::until(&format!("a response through {node}"), || async {
         let request = Request::get("/vehicles/1").body(Full::default()).ok()?;
-        let response = fleet.ask(node, "callers", request).await?;
+        let response = fleet.send_request(node, "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(())
     })
     .await;
@@ -272,7 +272,7 @@
     let set_partition = |fleet: &fleet::Fleet, rule| {
         for one in BRASOV_INSTANCES {
             for other in SIBIU_INSTANCES {
-                fleet.set_pair(one, other, rule);
+                fleet.set_pair_rule(one, other, rule);
             }
         }
     };
