--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -179,7 +179,8 @@
         self.fleet.wait_version(names, 1).await;
         if names.contains(&"node-2") {
             for target in &self.targets {
-                // The restarted node listens on a new port, to which stand-ins do not reconnect.
+                // The restarted node listens on a new port. The agent of a real target would find it
+                // again; stand-ins do not.
                 target.stop();
             }
             let name = format!("after-{}", self.targets.len());
@@ -375,7 +376,7 @@
         assert_eq!(
             answer.expect("a response").status(),
             200,
-            "idempotent requests need no control"
+            "lookups need no control"
         );
         for control in CONTROLS {
             scenario
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -285,7 +285,8 @@
         self.fleet.set_pair_rule(first, second, rule);
         time::sleep(self.random_pause()).await;
         self.send_change().await;
-        self.fleet.set_pair_rule(first, second, proxy::FaultRule::Pass);
+        self.fleet
+            .set_pair_rule(first, second, proxy::FaultRule::Pass);
     }
 
     /// Makes the snapshot writes of a control fail while changes arrive.
