--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -34,13 +34,14 @@
 /// Local state of a service's rollout, in addition to its catalogue entry.
 #[derive(Debug, Clone)]
 struct LocalRollout {
+    /// Catalogue version that the order created, which identifies the rollout.
     order: ids::CatalogueVersion,
     phase: rollout::RolloutPhase,
     /// Time at which this process first saw the rollout.
     first_seen_at: time::MonotonicTime,
-    /// Time at which this process first saw the current phase, and the catalogue version that
-    /// contained it.
+    /// Time at which this process first saw the current phase.
     phase_seen_at: time::MonotonicTime,
+    /// Catalogue version with which the current phase came into force on this process.
     phase_version: ids::CatalogueVersion,
     /// Whether this process saw the start of the rollout, so that it knows the elapsed time.
     has_seen_start: bool,
@@ -55,8 +56,9 @@
     pub tallies: tally::TallyTable,
     /// On the leader: run counts of all targets, by service.
     pub evidence: IndexMap<ids::EntryName, evidence::RolloutEvidence>,
-    known: IndexMap<ids::EntryName, LocalRollout>,
-    /// Catalogue version that `known` was read from; `None` before the first read.
+    /// Local state of the rollouts in the catalogue, by service.
+    local_rollouts: IndexMap<ids::EntryName, LocalRollout>,
+    /// Catalogue version that `local_rollouts` was read from; `None` before the first read.
     read_version: Option<ids::CatalogueVersion>,
     evaluated_at: time::MonotonicTime,
 }
@@ -65,8 +67,8 @@
     /// Returns the milliseconds since a service's latest order; `None` if this process did not see
     /// it start.
     pub fn elapsed_ms(&self, service: &ids::EntryName, now: time::MonotonicTime) -> Option<u64> {
-        let known = self.known.get(service)?;
-        let first_seen_at = known.has_seen_start.then_some(known.first_seen_at)?;
+        let local = self.local_rollouts.get(service)?;
+        let first_seen_at = local.has_seen_start.then_some(local.first_seen_at)?;
         Some(now.since(first_seen_at).as_millis() as u64)
     }
 }
@@ -74,7 +76,7 @@
 /// Reports run counts and, on the leader, evaluates the rollouts.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     refresh(state, output);
-    if state.rollout.known.is_empty() {
+    if state.rollout.local_rollouts.is_empty() {
         return;
     }
     tally::report(state, output);
@@ -121,7 +123,7 @@
 pub fn record_run(
     state: &mut reducer::EngineState,
     offer: &wire_calls::CallOffer,
-    took: Duration,
+    elapsed: Duration,
     result: calls::RunResult,
 ) {
     let Some(entry) = state.dissemination.in_force.rollout(&offer.service) else {
@@ -131,12 +133,12 @@
         return;
     };
     // A target that has just started is slow whatever its version, so its first runs do not count.
-    let started_warm = own_target.warm_at + took <= state.now;
+    let started_warm = own_target.warm_at + elapsed <= state.now;
     if entry.phase.is_running() && started_warm {
         let version = own_target.record.version.as_ref();
         let tallies = &mut state.rollout.tallies;
         let target = tallies.target_tally(&offer.target, entry, version);
-        target.record(&offer.route, took, result);
+        target.record(&offer.route, elapsed, result);
     }
 }
 
@@ -152,7 +154,8 @@
     })
 }
 
-/// Draws the cohort of a service's targets that a call may go to.
+/// Draws at random, by the shares of the current phase, the cohort of targets that a call may go
+/// to.
 pub fn draw_cohort(
     state: &mut reducer::EngineState,
     service: &ids::EntryName,
@@ -189,42 +192,42 @@
     }
 }
 
-/// Returns whether a trial may receive calls: its time limit has not passed on this node, and a
-/// control is reachable. Otherwise nobody would roll back a bad version.
+/// Returns whether the new version may get calls in the trial: the time limit has not passed on
+/// this node, and a control is reachable. Otherwise a bad version might not be rolled back.
 fn may_continue_trial(
     state: &reducer::EngineState,
     service: &ids::EntryName,
     within_ms: u32,
 ) -> bool {
     let time_limit = Duration::from_millis(u64::from(within_ms));
-    let known = state.rollout.known.get(service);
-    let has_expired = known.is_some_and(|known| state.now.since(known.first_seen_at) > time_limit);
+    let local = state.rollout.local_rollouts.get(service);
+    let has_expired = local.is_some_and(|local| state.now.since(local.first_seen_at) > time_limit);
     let mut controls = state
         .membership
         .others()
         .map(|member| &member.record.identity)
         .filter(|identity| identity.is_control);
     let identity = &state.settings.identity;
-    let is_reachable = identity.is_control
+    let is_control_reachable = identity.is_control
         || controls.any(|identity| state.membership.is_reachable(&identity.instance));
-    !has_expired && is_reachable
+    !has_expired && is_control_reachable
 }
 
-/// Updates the known rollouts from the catalogue in force, and records when each phase began
-/// locally.
+/// Updates the local state of the rollouts from the catalogue in force, and records when each phase
+/// was first seen here.
 fn refresh(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let in_force = std::sync::Arc::clone(&state.dissemination.in_force);
     let is_first_read = state.rollout.read_version.is_none();
     if state.rollout.read_version.replace(in_force.version) == Some(in_force.version) {
         return;
     }
-    let mut known: IndexMap<ids::EntryName, LocalRollout> = IndexMap::new();
+    let mut local_rollouts: IndexMap<ids::EntryName, LocalRollout> = IndexMap::new();
     let is_recovered = |order| {
         let replication = state.replication.as_ref();
         replication.is_some_and(|replication| replication.is_recovered(order))
     };
     for entry in in_force.rollouts() {
-        let previous = state.rollout.known.get(&entry.name);
+        let previous = state.rollout.local_rollouts.get(&entry.name);
         let previous = previous.filter(|previous| previous.order == entry.order);
         let is_new_phase = previous.is_none_or(|previous| previous.phase != entry.phase);
         if is_new_phase {
@@ -255,7 +258,7 @@
             },
             None => new_state,
         };
-        known.insert(entry.name.clone(), current);
+        local_rollouts.insert(entry.name.clone(), current);
     }
     let running = |service: &ids::EntryName| {
         let entry = in_force.rollout(service);
@@ -265,7 +268,7 @@
     state.rollout.evidence.retain(|service, evidence| {
         running(service).is_some_and(|entry| evidence.belongs_to(entry.order))
     });
-    state.rollout.known = known;
+    state.rollout.local_rollouts = local_rollouts;
 }
 
 /// On the leader: evaluates the evidence of each running rollout and proposes its next step.
@@ -286,19 +289,19 @@
     for entry in in_force.rollouts().filter(|entry| entry.phase.is_running()) {
         let evidence = state.rollout.evidence.entry(entry.name.clone());
         evidence.or_default().observe(entry, &in_force, window_span);
-        let Some(decision) = plan::next_step(&situation(state, entry)) else {
+        let Some(decision) = plan::next_step(&collect_situation(state, entry)) else {
             continue;
         };
         let now = state.now;
-        let Some(known) = state.rollout.known.get_mut(&entry.name) else {
+        let Some(local) = state.rollout.local_rollouts.get_mut(&entry.name) else {
             continue;
         };
         let is_pending = |at: time::MonotonicTime| now.since(at) < STEP_RETRY_DELAY;
-        if known.proposed_at.is_some_and(is_pending) {
+        if local.proposed_at.is_some_and(is_pending) {
             continue;
         }
-        known.proposed_at = Some(now);
-        let elapsed = now.since(known.first_seen_at);
+        local.proposed_at = Some(now);
+        let elapsed = now.since(local.first_seen_at);
         let next = entry.in_phase(decision.phase, decision.share_permille, decision.reason);
         let proposal = replication::RolloutTransition {
             entry: next.with_old_versions(known_versions(state, &entry.name)),
@@ -310,13 +313,13 @@
 }
 
 /// Collects the inputs for the next step of a rollout.
-fn situation(
+fn collect_situation(
     state: &reducer::EngineState,
     entry: &rollout::RolloutEntry,
 ) -> plan::RolloutSituation {
-    let known = &state.rollout.known[&entry.name];
+    let local = &state.rollout.local_rollouts[&entry.name];
     let evidence = &state.rollout.evidence[&entry.name];
-    let view = convergence::view(state, known.phase_version);
+    let view = convergence::view(state, local.phase_version);
     let (known_nodes, nodes_behind) = view.map_or((0, usize::MAX), |view| {
         let unreachable = membership::reach::Reachability::Unreachable;
         let behind = view.behind.iter();
@@ -328,10 +331,10 @@
         phase: entry.phase,
         share: f64::from(entry.share_permille) / f64::from(rollout::FULL_SHARE_PERMILLE),
         within: Duration::from_millis(u64::from(entry.within_ms)),
-        elapsed: known
+        elapsed: local
             .has_seen_start
-            .then(|| state.now.since(known.first_seen_at)),
-        time_in_phase: state.now.since(known.phase_seen_at),
+            .then(|| state.now.since(local.first_seen_at)),
+        time_in_phase: state.now.since(local.phase_seen_at),
         finding: evidence.finding(&entry.to),
         observed: evidence.observed(),
         slots,
@@ -339,7 +342,7 @@
         nodes_behind,
         old_in_flight: evidence.old_in_flight(
             &entry.to,
-            known.phase_seen_at + plan::SETTLE_TIME,
+            local.phase_seen_at + plan::SETTLE_TIME,
             state.now,
         ),
     }
--- a/crates/engine/src/rollout/evidence.rs
+++ b/crates/engine/src/rollout/evidence.rs
@@ -12,14 +12,14 @@
     verdict::{self, VersionJudge as _},
 };
 
-/// Number of groups that the new version's targets other than canaries are evaluated in.
+/// Number of groups in which the non-canary targets of the new version are evaluated.
 const RESERVE_GROUPS: u64 = 4;
 
 /// Minimum number of runs for a target's health to count.
 const MIN_TARGET_RUNS: u64 = 5;
-/// Minimum number of unhealthy targets for a rollback, and by how much their share must exceed that
-/// of the old version.
+/// Minimum number of unhealthy targets of the new version for a rollback.
 const MIN_UNHEALTHY_TARGETS: u64 = 2;
+/// Minimum excess of their share over the share of unhealthy targets of the old version.
 const MIN_UNHEALTHY_EXCESS: f64 = 0.5;
 
 /// Silence after which the node of a target is presumed gone.
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone)]
 struct TargetEvidence {
     latest: wire::TargetTally,
-    /// Counts that have already been evaluated.
+    /// Cumulative counts by route as of the last evaluation.
     evaluated: IndexMap<ids::EntryName, wire::RouteTally>,
-    /// Time of the last report.
+    /// When the last report arrived.
     reported_at: time::MonotonicTime,
 }
 
@@ -147,8 +147,8 @@
         self.judge.finding().or_else(|| self.unhealthy_finding(to))
     }
 
-    /// Finds that many targets of the new version are unhealthy, compared with the old one. Ejected
-    /// targets get few calls, so their runs alone would show the fault late.
+    /// Returns a finding if a much larger share of the new version's targets is unhealthy than of
+    /// the old one's. Ejected targets get few calls, so their runs alone would show the fault late.
     fn unhealthy_finding(&self, to: &ids::SoftwareVersion) -> Option<verdict::RolloutFinding> {
         let count = |is_new: bool| {
             let version_targets = self.targets.values().filter(|evidence| {
@@ -207,15 +207,16 @@
         versions
     }
 
+    /// Returns the number of canary targets that the number of reporting old targets gives.
     fn canaries(&self, entry: &rollout::RolloutEntry) -> usize {
         let is_old =
             |evidence: &&TargetEvidence| evidence.latest.version.as_ref() != Some(&entry.to);
         cohort::canary_count(self.targets.values().filter(is_old).count())
     }
 
-    /// Assigns the new version's targets to groups. Each canary is a group of its own, so that the
-    /// fault of one machine can be told from a fault of the version; the other targets share a few
-    /// groups.
+    /// Returns the group of each target of the new version. Each canary is a group of its own, so
+    /// that the fault of one machine can be told from a fault of the version; the other targets
+    /// share a few groups.
     fn groups(
         &self,
         entry: &rollout::RolloutEntry,
--- a/crates/engine/src/rollout/plan.rs
+++ b/crates/engine/src/rollout/plan.rs
@@ -15,7 +15,7 @@
 /// Bounds of the time reserved for moving the traffic.
 const MIN_SHIFT_TIME: Duration = Duration::from_millis(2500);
 const MAX_SHIFT_TIME: Duration = Duration::from_secs(60);
-/// Share of that time that the widening phase lasts.
+/// Share of the time reserved for moving the traffic that the widening phase lasts.
 const WIDENING_TIME_SHARE: f64 = 0.3;
 /// Share of calls that the new version gets in the widening phase, in thousandths.
 const WIDENING_PERMILLE: u32 = 300;
@@ -25,18 +25,21 @@
 pub(super) const SETTLE_TIME: Duration = Duration::from_millis(500);
 /// Minimum ratio of the new version's slots to the old version's.
 const MIN_SLOT_RATIO: f64 = 0.8;
-/// Share of nodes that may still lack the switch when the time limit is reached.
+/// Share of nodes on which the switch may not yet be in force when the time limit is reached.
 const MAX_BEHIND_SHARE: f64 = 0.1;
 
-/// Minimum time and number of runs for which the new version is observed before it gets more calls.
+/// Minimum time for which the new version is observed before it gets more calls.
 const MIN_OBSERVED_TIME: Duration = Duration::from_secs(2);
+/// Minimum observed time as a share of the time limit.
 const MIN_OBSERVED_TIME_SHARE: f64 = 0.125;
+/// Minimum number of observed runs of the new version before it gets more calls.
 const MIN_RUNS: f64 = 30.0;
 /// Minimum ratio of the new version's observed share of runs to its intended one; below that, its
 /// targets do not take their calls.
 const MIN_SHARE_RATIO: f64 = 0.25;
-/// Minimum time share and number of runs for a service with few calls.
+/// Share of the time limit after which fewer observed runs suffice, for services with few calls.
 const LOW_TRAFFIC_TIME_SHARE: f64 = 0.33;
+/// Minimum number of observed runs after that time.
 const LOW_TRAFFIC_MIN_RUNS: f64 = 5.0;
 
 /// Runs of the new version that have been evaluated.
@@ -62,8 +65,8 @@
         }
     }
 
-    /// Returns whether this suffices to judge the version, given the time limit of the rollout and
-    /// the intended share of calls.
+    /// Returns whether the runs suffice to judge the version, given the time limit of the rollout
+    /// and the intended share of calls.
     fn is_sufficient(&self, within: Duration, share: f64) -> bool {
         let min_time = within
             .mul_f64(MIN_OBSERVED_TIME_SHARE)
--- a/crates/engine/src/rollout/tally.rs
+++ b/crates/engine/src/rollout/tally.rs
@@ -14,11 +14,12 @@
 const NEW_VERSION_PERIOD: Duration = Duration::from_millis(250);
 /// Interval between reports of a target of the old version; these are far more numerous.
 const OLD_VERSION_PERIOD: Duration = Duration::from_millis(1000);
-/// Status of an answer by which an overloaded target sheds a call.
+/// HTTP status with which an overloaded target sheds a call.
 const SHED_STATUS: u16 = 503;
+/// Lowest HTTP status of a response that counts as failed.
 const MIN_FAILED_STATUS: u16 = 500;
 
-/// Runs of one own target since its node learnt of the rollout.
+/// Run counts of one own target since its node learnt of the rollout.
 #[derive(Debug, Clone)]
 pub struct OwnTargetTally {
     service: ids::EntryName,
@@ -29,10 +30,11 @@
     sent_at: Option<time::MonotonicTime>,
 }
 
-/// Runs of the own targets whose services have a running rollout.
+/// Run counts of the own targets whose services have a running rollout.
 #[derive(Debug, Clone, Default)]
 pub struct TallyTable {
     targets: IndexMap<ids::TargetName, OwnTargetTally>,
+    /// Number of the latest report message.
     sequence: u64,
 }
 
@@ -91,20 +93,20 @@
 
 impl OwnTargetTally {
     /// Counts a completed run. Results that say nothing about the version are left out: shed calls,
-    /// answers lost or corrupted in transit, and broken connections.
+    /// truncated or invalid responses, and connections that failed or broke.
     pub fn record(&mut self, route: &ids::EntryName, duration: Duration, result: calls::RunResult) {
         let tally = self.routes.entry(route.clone());
         let tally = tally.or_insert_with(|| wire::RouteTally::new(route.clone()));
-        let class = wire::latency_bucket(duration);
+        let bucket = wire::latency_bucket(duration);
         match result {
             calls::RunResult::Done { status } if status != SHED_STATUS => {
                 tally.answered += 1;
                 tally.failed += u32::from(status >= MIN_FAILED_STATUS);
-                tally.times[class] += 1;
+                tally.times[bucket] += 1;
             }
             calls::RunResult::TimedOut | calls::RunResult::CallerGone => {
                 tally.given_up.resize(wire::LATENCY_BUCKETS, 0);
-                tally.given_up[class] += 1;
+                tally.given_up[bucket] += 1;
             }
             _ => {}
         }
--- a/crates/engine/src/rollout/verdict.rs
+++ b/crates/engine/src/rollout/verdict.rs
@@ -16,24 +16,25 @@
 const HALF_LIVES_S: [f64; 2] = [0.75, 4.0];
 /// Minimum number of runs of the old version for a comparison of run times.
 const MIN_BASELINE_RUNS: f64 = 20.0;
-/// Number of time classes above the old version's median from which a run is slow: four times as
+/// Number of latency buckets above the old version's median from which a run is slow: four times as
 /// long.
-const SLOW_CLASS_OFFSET: usize = 2 * wire::BUCKETS_PER_DOUBLING;
+const SLOW_BUCKET_OFFSET: usize = 2 * wire::BUCKETS_PER_DOUBLING;
 /// Sum of log-likelihood ratios at which the version is judged bad.
 const REJECTION_SCORE: f64 = 18.0;
-/// Share of that sum that one group can contribute, by the number of canary targets.
+/// Share of [`REJECTION_SCORE`] that one group can contribute, indexed by the number of canary
+/// targets.
 const GROUP_SCORE_SHARES: [f64; 4] = [1.0, 1.0, 0.5, 0.34];
-/// Bound of a group of other targets relative to that of a canary, since each of these targets has
-/// few runs.
+/// Ratio of the share that a group of non-canary targets can contribute to that of a canary. It is
+/// below one because each of these targets has few runs.
 const RESERVE_SCORE_RATIO: f64 = 0.5;
-/// Weight of non-idempotent runs, which cannot be retried; with it a fault is detected after fewer
-/// of them.
+/// Weight of the evidence from non-idempotent routes. Their calls cannot be retried, so a fault
+/// must be detected after fewer runs.
 const NON_IDEMPOTENT_WEIGHT: f64 = 1.25;
 /// Minimum number of runs for a canary to count as a group.
 const MIN_GROUP_RUNS: f64 = 5.0;
 
-/// Margins over the old version's share of bad runs: the largest that is acceptable, and that of a
-/// bad version.
+/// Margins over the old version's share of bad runs: the largest that a good version may have, and
+/// the one from which a version is bad.
 #[derive(Debug, Clone, Copy)]
 struct ShareMargins {
     acceptable: f64,
@@ -49,19 +50,19 @@
     acceptable: 0.08,
     bad: 0.22,
 };
-/// Added to both margins while the old version has too few runs in the same period to compare with.
+/// Added to both margins while the old version has fewer runs in the period than the new one.
 const NO_BASELINE_MARGIN: f64 = 0.15;
 
-/// Run counts of some period.
+/// Run counts of one period. They are fractional because older counts decay.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RunCounts {
     /// Number of answered runs.
     pub answered: f64,
     /// Number of answered runs that failed.
     pub failed: f64,
-    /// Answered runs by time class.
+    /// Answered runs by latency bucket.
     pub times: [f64; wire::LATENCY_BUCKETS],
-    /// Runs that were given up, by class of the time spent.
+    /// Runs that were given up, by latency bucket of the time spent.
     pub given_up: [f64; wire::LATENCY_BUCKETS],
 }
 
@@ -71,16 +72,21 @@
         let zero = wire::RouteTally::new(current.route.clone());
         let previous = previous.unwrap_or(&zero);
         let increase = |current: u32, previous: u32| f64::from(current.saturating_sub(previous));
-        let at = |counts: &[u32], class: usize| counts.get(class).copied().unwrap_or(0);
+        let count_at = |counts: &[u32], bucket: usize| counts.get(bucket).copied().unwrap_or(0);
         let mut counts = Self {
             answered: increase(current.answered, previous.answered),
             failed: increase(current.failed, previous.failed),
             ..Self::default()
         };
-        for class in 0..wire::LATENCY_BUCKETS {
-            counts.times[class] = increase(at(&current.times, class), at(&previous.times, class));
-            counts.given_up[class] =
-                increase(at(&current.given_up, class), at(&previous.given_up, class));
+        for bucket in 0..wire::LATENCY_BUCKETS {
+            counts.times[bucket] = increase(
+                count_at(&current.times, bucket),
+                count_at(&previous.times, bucket),
+            );
+            counts.given_up[bucket] = increase(
+                count_at(&current.given_up, bucket),
+                count_at(&previous.given_up, bucket),
+            );
         }
         counts
     }
@@ -89,23 +95,23 @@
     pub fn add(&mut self, other: &Self) {
         self.answered += other.answered;
         self.failed += other.failed;
-        for class in 0..wire::LATENCY_BUCKETS {
-            self.times[class] += other.times[class];
-            self.given_up[class] += other.given_up[class];
+        for bucket in 0..wire::LATENCY_BUCKETS {
+            self.times[bucket] += other.times[bucket];
+            self.given_up[bucket] += other.given_up[bucket];
         }
     }
 
     fn scale(&mut self, factor: f64) {
         self.answered *= factor;
         self.failed *= factor;
-        for class in 0..wire::LATENCY_BUCKETS {
-            self.times[class] *= factor;
-            self.given_up[class] *= factor;
+        for bucket in 0..wire::LATENCY_BUCKETS {
+            self.times[bucket] *= factor;
+            self.given_up[bucket] *= factor;
         }
     }
 
-    /// Returns the time class of the median answered run.
-    fn median_class(&self) -> usize {
+    /// Returns the latency bucket of the median answered run.
+    fn median_bucket(&self) -> usize {
         let half = self.times.iter().sum::<f64>() / 2.0;
         let mut cumulative = 0.0;
         let reaches_half = |count: &f64| {
@@ -115,11 +121,11 @@
         self.times.iter().position(reaches_half).unwrap_or(0)
     }
 
-    /// Returns the number of runs that can be classified as slow or not, and of those that are
-    /// slow. A run that was given up before it would have been slow cannot be classified.
-    fn slow_runs(&self, slow_class: usize) -> (f64, f64) {
-        let slow: f64 = self.times[slow_class..].iter().sum();
-        let given_up: f64 = self.given_up[slow_class..].iter().sum();
+    /// Returns the number of runs that are known to be slow or not, and the number of slow ones. A
+    /// run that was given up before it would have been slow is not counted.
+    fn slow_runs(&self, slow_bucket: usize) -> (f64, f64) {
+        let slow: f64 = self.times[slow_bucket..].iter().sum();
+        let given_up: f64 = self.given_up[slow_bucket..].iter().sum();
         (self.answered + given_up, slow + given_up)
     }
 }
@@ -131,7 +137,7 @@
     pub span: Duration,
     /// Runs of the old version by route.
     pub baseline: IndexMap<ids::EntryName, RunCounts>,
-    /// Number of canary targets; the groups below this number are canaries.
+    /// Number of canary targets. Each is a group of its own; these groups have the lowest numbers.
     pub canaries: usize,
     /// Runs of the new version by group and route.
     pub new_version: IndexMap<(u64, ids::EntryName), RunCounts>,
@@ -172,7 +178,7 @@
     pub evaluated: u64,
     /// Number of those that failed, were slow or are unhealthy.
     pub bad: u64,
-    /// The same share of the old version in the same period.
+    /// Share of bad runs, or targets, of the old version in the same period.
     pub baseline_share: f64,
 }
 
@@ -203,13 +209,15 @@
     fn finding(&self) -> Option<RolloutFinding>;
 }
 
-/// Evidence of one kind for one route of one group.
+/// CUSUM score of one kind of fault for one route of one group.
 #[derive(Debug, Clone, Default)]
 struct CusumScore {
     /// Cumulative sum of log-likelihood ratios, never below zero, so that a version that turns bad
     /// late is detected as fast as one that was bad from the start.
     score: f64,
+    /// Runs since the score was last zero.
     runs: f64,
+    /// Number of those that were bad.
     bad: f64,
     baseline_share: f64,
 }
@@ -268,16 +276,18 @@
         self.max_share(|runs| (runs.failed + 0.5) / (runs.answered + 10.0))
     }
 
-    /// Returns the time class from which a run is slow; `None` if there are too few runs to tell.
-    fn first_slow_class(&self) -> Option<usize> {
+    /// Returns the latency bucket from which a run is slow; `None` if there are too few runs to
+    /// tell.
+    fn first_slow_bucket(&self) -> Option<usize> {
         let runs = self.long_term();
-        let slow_class = (runs.median_class() + SLOW_CLASS_OFFSET).min(wire::LATENCY_BUCKETS - 1);
-        (runs.answered >= MIN_BASELINE_RUNS).then_some(slow_class)
+        let slow_bucket =
+            (runs.median_bucket() + SLOW_BUCKET_OFFSET).min(wire::LATENCY_BUCKETS - 1);
+        (runs.answered >= MIN_BASELINE_RUNS).then_some(slow_bucket)
     }
 
-    fn slow_share(&self, slow_class: usize) -> f64 {
+    fn slow_share(&self, slow_bucket: usize) -> f64 {
         self.max_share(|runs| {
-            let (all, slow_runs) = runs.slow_runs(slow_class);
+            let (all, slow_runs) = runs.slow_runs(slow_bucket);
             (slow_runs + 0.5) / (all + 10.0)
         })
     }
@@ -287,8 +297,10 @@
 #[derive(Debug, Clone, Default)]
 pub struct SequentialJudge {
     baseline: IndexMap<ids::EntryName, BaselineRuns>,
+    /// Scores by group, kind of fault and route.
     sums: IndexMap<(u64, FaultKind), IndexMap<ids::EntryName, CusumScore>>,
     group_runs: IndexMap<u64, f64>,
+    /// Number of canary targets, which have the group numbers below it.
     canaries: usize,
 }
 
@@ -311,14 +323,14 @@
         context: RunContext,
     ) {
         let baseline = self.baseline.get(route).cloned().unwrap_or_default();
-        let margins = |margins: ShareMargins| ShareMargins {
-            acceptable: margins.acceptable + context.margin,
-            bad: margins.bad + context.margin,
+        let widen = |margins: ShareMargins| ShareMargins {
+            acceptable: margins.acceptable + context.extra_margin,
+            bad: margins.bad + context.extra_margin,
         };
-        let mut observe = |kind, (runs, bad): (f64, f64), baseline_share, bounds| {
+        let mut observe = |kind, (runs, bad): (f64, f64), baseline_share, margins| {
             let routes = self.sums.entry((group, kind)).or_default();
             let sum = routes.entry(route.clone()).or_default();
-            sum.observe(runs, bad, baseline_share, margins(bounds), context.weight);
+            sum.observe(runs, bad, baseline_share, widen(margins), context.weight);
         };
         let failed = (counts.answered, counts.failed);
         let baseline_failing = baseline.failing_share();
@@ -328,11 +340,11 @@
             baseline_failing,
             FAILURE_MARGINS,
         );
-        if let Some(slow_class) = baseline.first_slow_class() {
-            let slow_share = baseline.slow_share(slow_class);
+        if let Some(slow_bucket) = baseline.first_slow_bucket() {
+            let slow_share = baseline.slow_share(slow_bucket);
             observe(
                 FaultKind::Slow,
-                counts.slow_runs(slow_class),
+                counts.slow_runs(slow_bucket),
                 slow_share,
                 SLOW_MARGINS,
             );
@@ -340,34 +352,35 @@
     }
 
     /// Returns the number of canary targets with enough runs to count.
-    fn canaries(&self) -> usize {
+    fn counted_canaries(&self) -> usize {
         let groups = self.group_runs.iter();
         let counted = groups
             .filter(|(group, runs)| **group < self.canaries as u64 && **runs >= MIN_GROUP_RUNS);
         counted.count()
     }
 
-    /// Returns the evidence of a kind summed over all groups, each limited to its bound.
+    /// Returns the score of a kind of fault, summed over all groups with an upper bound for each.
     fn total_score(&self, kind: FaultKind) -> f64 {
-        let bound =
-            REJECTION_SCORE * GROUP_SCORE_SHARES[self.canaries().min(GROUP_SCORE_SHARES.len() - 1)];
+        let canary_bound = REJECTION_SCORE
+            * GROUP_SCORE_SHARES[self.counted_canaries().min(GROUP_SCORE_SHARES.len() - 1)];
         let kind_sums = self
             .sums
             .iter()
             .filter(|((_, other_kind), _)| *other_kind == kind);
         let bounded = |((group, _), routes): (&(u64, FaultKind), &IndexMap<_, CusumScore>)| {
             let is_canary = *group < self.canaries as u64;
-            let bound = if is_canary {
-                bound
+            let group_bound = if is_canary {
+                canary_bound
             } else {
-                bound * RESERVE_SCORE_RATIO
+                canary_bound * RESERVE_SCORE_RATIO
             };
             let score: f64 = routes.values().map(|sum| sum.score).sum();
-            score.min(bound)
+            score.min(group_bound)
         };
         kind_sums.map(bounded).sum()
     }
 
+    /// Returns the finding for the route with the highest score, summed over all groups.
     fn worst_route(&self, kind: FaultKind) -> Option<RolloutFinding> {
         let kind_sums = self
             .sums
@@ -398,7 +411,9 @@
 /// Parameters that a group's runs are evaluated with.
 #[derive(Debug, Clone, Copy)]
 struct RunContext {
-    margin: f64,
+    /// Added to both margins.
+    extra_margin: f64,
+    /// Factor of the log-likelihood ratio.
     weight: f64,
 }
 
@@ -416,7 +431,7 @@
         for ((group, route), counts) in &window.new_version {
             *self.group_runs.entry(*group).or_default() += counts.answered;
             let context = RunContext {
-                margin: if lacks_baseline {
+                extra_margin: if lacks_baseline {
                     NO_BASELINE_MARGIN
                 } else {
                     0.0
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -265,8 +265,8 @@
     }
     let (_, _, tally) = table.iter().next().expect("a route had runs");
     assert_eq!((tally.answered, tally.failed), (2, 1));
-    let class = wire::latency_bucket(took);
-    assert_eq!((tally.times[class], tally.given_up[class]), (2, 2));
+    let bucket = wire::latency_bucket(took);
+    assert_eq!((tally.times[bucket], tally.given_up[bucket]), (2, 2));
 }
 
 #[test]
