--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -47,7 +47,7 @@
 pub struct TargetAdmission {
     /// Number of running calls.
     pub running: u32,
-    /// Number of running calls of the lowest-priority class.
+    /// Number of running calls of the lowest-priority class with a route to the service.
     pub running_lowest: u32,
     /// Slot usage by higher-priority classes.
     pub priority_usage: reserve::PriorityUsage,
@@ -71,11 +71,12 @@
         start_deadline: time::MonotonicTime,
         available: AvailableSlots,
     ) -> Duration {
-        let ahead = self.queue.work_ahead(params, start_deadline) / f64::from(available.of_class);
+        let ahead_s =
+            self.queue.work_ahead_s(params, start_deadline) / f64::from(available.of_class);
         let next_slot = self
             .estimate
             .time_for(f64::from(offer.cost), available.of_target);
-        Duration::from_secs_f64(ahead) + next_slot
+        Duration::from_secs_f64(ahead_s) + next_slot
     }
 
     /// Updates the standing-queue detector with whether the queue is empty.
@@ -120,25 +121,28 @@
     call: ids::CallId,
     offer: &wire::CallOffer,
 ) -> AdmissionDecision {
-    let own = state.membership.targets.get(&offer.target);
-    let is_ready =
-        |own: &membership::OwnTarget| own.record.state == wire_membership::TargetState::Ready;
-    let is_open = own.is_some_and(|own| is_ready(own) && !rollout::is_rolled_back(state, own));
+    let own_target = state.membership.targets.get(&offer.target);
+    let is_ready = |own_target: &membership::OwnTarget| {
+        own_target.record.state == wire_membership::TargetState::Ready
+    };
+    let is_open = own_target.is_some_and(|own_target| {
+        is_ready(own_target) && !rollout::is_rolled_back(state, own_target)
+    });
     if !is_open {
-        let missing = wire::CallRefusal::not_run(code::ResultCode::TargetMissing);
-        return AdmissionDecision::Refuse(missing.elsewhere());
+        let refusal = wire::CallRefusal::not_run(code::ResultCode::TargetMissing);
+        return AdmissionDecision::Refuse(refusal.elsewhere());
     }
     if let Some(refusal) = check_rate(state, offer) {
         return AdmissionDecision::Refuse(refusal);
     }
-    let answer = place_call(state, call, offer);
-    if !matches!(answer, AdmissionDecision::Refuse(_)) {
+    let decision = place_call(state, call, offer);
+    if !matches!(decision, AdmissionDecision::Refuse(_)) {
         let key = (offer.owner.clone(), offer.service.clone());
         if let Some(bucket) = state.admission.rates.get_mut(&key) {
             bucket.spend(offer.cost);
         }
     }
-    answer
+    decision
 }
 
 /// Gives a free slot to a queued call and returns the call, which runs now; returns `None` if no
@@ -186,7 +190,7 @@
     result: calls::RunResult,
 ) {
     let announced = announced_slots(state, &offer.target);
-    let is_lowest = latency::is_bounded(state, offer);
+    let is_lowest = latency::is_lowest_priority(state, offer);
     let now = state.now;
     let Some(admission) = state.admission.targets.get_mut(&offer.target) else {
         return;
@@ -241,19 +245,19 @@
         .collect()
 }
 
-/// Returns the load report on an owned target that accompanies the response to a call.
-pub fn report(state: &reducer::EngineState, offer: &wire::CallOffer) -> wire::LoadReport {
+/// Returns the load report on an own target that accompanies the response to a call.
+pub fn load_report(state: &reducer::EngineState, offer: &wire::CallOffer) -> wire::LoadReport {
     let admission = state.admission.targets.get(&offer.target);
-    let run = admission.map_or(Duration::ZERO, |admission| {
+    let run_time = admission.map_or(Duration::ZERO, |admission| {
         admission.estimate.run_time(&offer.route, offer.cost)
     });
     wire::LoadReport {
-        route_us: u32::try_from(run.as_micros()).unwrap_or(u32::MAX),
+        route_us: u32::try_from(run_time.as_micros()).unwrap_or(u32::MAX),
         ..load(state, &offer.target)
     }
 }
 
-/// Returns the load of an owned target without a route's service time.
+/// Returns the load of an own target without a route's service time.
 pub fn load(state: &reducer::EngineState, target: &ids::TargetName) -> wire::LoadReport {
     let admission = state.admission.targets.get(target);
     wire::LoadReport {
@@ -266,44 +270,50 @@
     }
 }
 
-/// Returns the running and queued requests of an owned target, the queued ones counted in runs of
-/// mean length.
-pub fn in_use(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
+/// Returns the number of running and queued calls of an own target, the queued ones counted in runs
+/// of mean length.
+pub fn in_flight(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
     let admission = state.admission.targets.get(target);
     admission.map_or(0, |admission| admission.running + queued_runs(admission))
 }
 
 /// Returns the number of runs of mean length that take as long as the queued work.
 fn queued_runs(admission: &TargetAdmission) -> u32 {
-    let mean = f64::from(admission.estimate.service_us()) / 1e6;
-    if mean > 0.0 {
-        (admission.queue.queued_work_s() / mean).round() as u32
+    let mean_run_s = f64::from(admission.estimate.service_us()) / 1e6;
+    if mean_run_s > 0.0 {
+        (admission.queue.queued_work_s() / mean_run_s).round() as u32
     } else {
         admission.queue.len() as u32
     }
 }
 
-/// Returns the slots of an owned target that may be used at once.
+/// Returns the slots of an own target that may be used at once.
 pub fn slots(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
     let announced = announced_slots(state, target);
     let admission = state.admission.targets.get(target);
     admission.map_or(announced, |admission| admission.estimate.slots(announced))
 }
 
+/// Returns the announced slots of an own target within the limits of its service.
 fn announced_slots(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
-    let Some(own) = state.membership.targets.get(target) else {
+    let Some(own_target) = state.membership.targets.get(target) else {
         return 0;
     };
     let catalogue = &state.dissemination.in_force;
     // Each run takes a connection of its own, so the connection limit bounds the slots too.
     let limit = catalogue
-        .service(&own.record.service)
+        .service(&own_target.record.service)
         .map_or(u32::MAX, |service| {
             service.limits.slots.min(service.limits.connections)
         });
-    own.record.slots.min(own.record.connections).min(limit)
+    own_target
+        .record
+        .slots
+        .min(own_target.record.connections)
+        .min(limit)
 }
 
+/// Gives a call a free slot or a place in the queue, or refuses it.
 fn place_call(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -312,7 +322,7 @@
     let slots = slots(state, &offer.target);
     let params = scheduling_params(state, offer);
     let useful_time = latency::useful_time(state, offer);
-    let is_lowest = latency::is_bounded(state, offer);
+    let is_lowest = latency::is_lowest_priority(state, offer);
     let is_overdue = latency::is_overdue(state, offer);
     let max_class_wait = max_queue_time(state, offer);
     let now = state.now;
@@ -338,18 +348,18 @@
         of_target: slots,
         of_class: slots.saturating_sub(used_by_higher).max(1),
     };
-    let run = admission.estimate.run_time(&offer.route, offer.cost);
+    let run_time = admission.estimate.run_time(&offer.route, offer.cost);
     // An overdue call gets the next free slot or none.
     let wait_limit = if is_overdue {
-        max_class_wait.min(run)
+        max_class_wait.min(run_time)
     } else {
         max_class_wait
     };
-    let useful_wait = useful_time.saturating_sub(run);
+    let useful_wait = useful_time.saturating_sub(run_time);
     let start_deadline = now + wait_limit.min(useful_wait);
     let wait = admission.queue_wait(&params, offer, start_deadline, available);
     let left = Duration::from_millis(u64::from(offer.deadline_left_ms));
-    if wait + run > left {
+    if wait + run_time > left {
         return AdmissionDecision::Refuse(refusal::deadline_refusal(state, offer, wait));
     }
     let release_interval = admission.estimate.time_for(1.0, slots);
@@ -359,7 +369,8 @@
     } else {
         useful_wait
     };
-    let is_late = wait > admissible_wait || run > useful_time || is_overdue && is_queue_occupied;
+    let is_late =
+        wait > admissible_wait || run_time > useful_time || is_overdue && is_queue_occupied;
     if is_late || wait > Duration::from_millis(u64::from(offer.patience_ms)) {
         // The call would be admitted once the queue has shrunk by the excess wait.
         let excess = wait.saturating_sub(admissible_wait);
@@ -380,13 +391,14 @@
     let queued = queue::QueuedCall {
         call,
         cost: offer.cost,
-        expected_run: run,
+        expected_run_time: run_time,
         queued_at: now,
         start_deadline,
     };
     enqueue(state, offer, &params, queued)
 }
 
+/// Queues a call, or refuses it if the queue is full and no queued call yields its place.
 fn enqueue(
     state: &mut reducer::EngineState,
     offer: &wire::CallOffer,
@@ -431,6 +443,7 @@
     }
 }
 
+/// Returns the maximum queue wait of the call's class.
 fn max_queue_time(state: &reducer::EngineState, offer: &wire::CallOffer) -> Duration {
     let class = state.dissemination.in_force.class(&offer.class);
     let limits = class.map_or_else(entry::ClassLimits::default, |class| class.limits.clone());
@@ -443,13 +456,13 @@
     state: &mut reducer::EngineState,
     offer: &wire::CallOffer,
 ) -> Option<wire::CallRefusal> {
-    let owner_limit = state
+    let rate_limit = state
         .dissemination
         .in_force
         .owner(&offer.owner)?
         .limits
         .rate;
-    let service_rate = owner_limit?.per_second();
+    let service_rate = rate_limit?.per_second();
     routing::table::refresh(state);
     let rate = service_rate * local_share(state, &offer.service);
     let burst = settings::millis(state.settings.tunables.admission.burst_ms);
@@ -479,10 +492,10 @@
 /// Returns this node's share of a service's live slots.
 fn local_share(state: &reducer::EngineState, service: &ids::EntryName) -> f64 {
     let table = &state.routing.table;
-    let own = &state.settings.identity.instance;
-    let of_own = table.of_service(service).iter();
-    let own_slots: u32 = of_own
-        .filter(|target| target.instance == *own)
+    let own_instance = &state.settings.identity.instance;
+    let targets = table.of_service(service).iter();
+    let own_slots: u32 = targets
+        .filter(|target| target.instance == *own_instance)
         .map(|target| target.slots)
         .sum();
     f64::from(own_slots) / f64::from(table.slots(service).max(1))
--- a/crates/engine/src/admission/estimate.rs
+++ b/crates/engine/src/admission/estimate.rs
@@ -29,7 +29,7 @@
 /// Factor that reduces the slots in use when a target sheds a call.
 const SHED_FACTOR: f64 = 0.8;
 
-/// Estimates on one target.
+/// Estimates of the run times and the usable slots of one target.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TargetEstimate {
     /// Smoothed run time for each cost unit, in microseconds; zero before the first run.
@@ -41,10 +41,11 @@
     /// Smoothed run time by route, in microseconds, with the number of runs measured. The run times
     /// of one service's routes differ by a multiple.
     by_route: IndexMap<ids::EntryName, (f64, u32)>,
-    /// Slots that the target accepts as far as observed; absent while it accepts all it announced.
+    /// Estimated number of calls that the target accepts at once; absent while it accepts as many
+    /// as it announced.
     slots: Option<f64>,
     /// Calls shed while the target was nearly idle.
-    idle: IdleShedding,
+    idle_shedding: IdleShedding,
 }
 
 /// Detects targets that shed calls for reasons other than their load.
@@ -72,18 +73,18 @@
 }
 
 impl TargetEstimate {
-    /// Records a successful run, where `announced` is the target's slot count without estimates and
-    /// `running` the number of running calls including this one.
+    /// Records a successful run, where `announced_slots` is the target's slot count without
+    /// estimates and `running` the number of running calls including this one.
     pub fn record_run(
         &mut self,
         route: &ids::EntryName,
         elapsed: Duration,
         cost: u32,
-        announced: u32,
+        announced_slots: u32,
         running: u32,
     ) {
-        if self.is_idle(running, announced) {
-            self.idle.record(false);
+        if self.is_idle(running, announced_slots) {
+            self.idle_shedding.record(false);
         }
         let micros = elapsed.as_secs_f64() * 1e6;
         let (route_us, runs) = self.by_route.entry(route.clone()).or_default();
@@ -94,30 +95,33 @@
         }
         self.runs = self.runs.saturating_add(1);
         let weight = MIN_RUN_WEIGHT.max(1.0 / f64::from(self.runs));
-        let unit = micros / f64::from(cost.max(1));
-        self.unit_us += weight * (unit - self.unit_us);
+        let unit_us = micros / f64::from(cost.max(1));
+        self.unit_us += weight * (unit_us - self.unit_us);
         self.run_us += weight * (micros - self.run_us);
         if let Some(slots) = self.slots {
             let grown = slots + 1.0 / slots;
-            self.slots = (grown < f64::from(announced)).then_some(grown);
+            self.slots = (grown < f64::from(announced_slots)).then_some(grown);
         }
     }
 
-    fn is_idle(&self, running: u32, announced: u32) -> bool {
-        running <= (self.slots(announced) / 2).max(1)
+    /// Returns whether the target is nearly idle: at most half of its slots are in use.
+    fn is_idle(&self, running: u32, announced_slots: u32) -> bool {
+        running <= (self.slots(announced_slots) / 2).max(1)
     }
 
     /// Records a call that the target shed while `running` calls ran, including the shed one.
-    pub fn record_shed(&mut self, running: u32, announced: u32) {
-        if self.is_idle(running, announced) {
-            self.idle.record(true);
+    pub fn record_shed(&mut self, running: u32, announced_slots: u32) {
+        if self.is_idle(running, announced_slots) {
+            self.idle_shedding.record(true);
         }
-        if self.idle.is_faulty() {
+        if self.idle_shedding.is_faulty() {
             self.slots = None;
             return;
         }
-        let in_use = f64::from(running);
-        let base = self.slots.map_or(in_use, |slots| slots.min(in_use));
+        let running_calls = f64::from(running);
+        let base = self
+            .slots
+            .map_or(running_calls, |slots| slots.min(running_calls));
         self.slots = Some((base * SHED_FACTOR).max(1.0));
     }
 
@@ -131,9 +135,9 @@
     }
 
     /// Returns how many of the announced slots to use.
-    pub fn slots(&self, announced: u32) -> u32 {
+    pub fn slots(&self, announced_slots: u32) -> u32 {
         self.slots
-            .map_or(announced, |slots| announced.min(slots as u32))
+            .map_or(announced_slots, |slots| announced_slots.min(slots as u32))
     }
 
     /// Returns the time to run `cost` units on `slots` slots; zero before the first run.
--- a/crates/engine/src/admission/latency.rs
+++ b/crates/engine/src/admission/latency.rs
@@ -22,7 +22,7 @@
 
 /// Returns the time from now within which the response to a call is useful.
 pub(super) fn useful_time(state: &reducer::EngineState, offer: &wire::CallOffer) -> Duration {
-    let millis = if is_bounded(state, offer) && !is_overdue(state, offer) {
+    let millis = if is_lowest_priority(state, offer) && !is_overdue(state, offer) {
         offer.latency_left_ms
     } else {
         offer.deadline_left_ms
@@ -33,12 +33,12 @@
 /// Returns whether a call of the lowest-priority class can no longer be answered within its route's
 /// target latency.
 pub(super) fn is_overdue(state: &reducer::EngineState, offer: &wire::CallOffer) -> bool {
-    offer.latency_left_ms == 0 && is_bounded(state, offer)
+    offer.latency_left_ms == 0 && is_lowest_priority(state, offer)
 }
 
-/// Returns whether a call is held to its route's target latency: its class is the lowest-priority
-/// class with a route to its service.
-pub(super) fn is_bounded(state: &reducer::EngineState, offer: &wire::CallOffer) -> bool {
+/// Returns whether a call's class is the lowest-priority class with a route to its service. Only
+/// such calls are held to their route's target latency.
+pub(super) fn is_lowest_priority(state: &reducer::EngineState, offer: &wire::CallOffer) -> bool {
     let catalogue = &state.dissemination.in_force;
     let rank = catalogue.class(&offer.class).map(|class| class.rank);
     let max_rank = state.routing.routes.max_rank(&offer.service);
--- a/crates/engine/src/admission/queue.rs
+++ b/crates/engine/src/admission/queue.rs
@@ -39,7 +39,7 @@
     /// Cost of the call, in cost units.
     pub cost: u32,
     /// Expected run time.
-    pub expected_run: Duration,
+    pub expected_run_time: Duration,
     /// When the call was queued.
     pub queued_at: time::MonotonicTime,
     /// Time at which the call expires unless it has started.
@@ -55,7 +55,7 @@
 }
 
 impl OwnerQueue {
-    fn cost(&self) -> f64 {
+    fn queued_cost(&self) -> f64 {
         self.queued_calls
             .iter()
             .map(|call| f64::from(call.cost))
@@ -66,7 +66,7 @@
     fn queued_work_s(&self) -> f64 {
         self.queued_calls
             .iter()
-            .map(|call| call.expected_run.as_secs_f64())
+            .map(|call| call.expected_run_time.as_secs_f64())
             .sum()
     }
 
@@ -77,11 +77,14 @@
             .queued_calls
             .iter()
             .take_while(|call| call.start_deadline <= start_deadline);
-        before.map(|call| call.expected_run.as_secs_f64()).sum()
+        before
+            .map(|call| call.expected_run_time.as_secs_f64())
+            .sum()
     }
 
+    /// Returns the queued cost divided by the owner's weight.
     fn weighted_cost(&self) -> f64 {
-        self.cost() / self.weight
+        self.queued_cost() / self.weight
     }
 }
 
@@ -108,33 +111,35 @@
         self.owners.values().map(OwnerQueue::queued_work_s).sum()
     }
 
-    fn owner(&mut self, params: &SchedulingParams) -> &mut OwnerQueue {
+    fn owner_mut(&mut self, params: &SchedulingParams) -> &mut OwnerQueue {
         let owner = self.owners.entry(params.owner.clone()).or_default();
         owner.weight = f64::from(params.weight.max(1));
         owner
     }
 
+    /// Advances the virtual times for a call that starts.
     fn start(&mut self, owner_name: &ids::EntryName, cost: u32) {
         let class_virtual_time = self.virtual_time;
         let owner = self
             .owners
             .get_mut(owner_name)
             .expect("its call starts, so it has a queue");
-        let start = owner.virtual_time.max(class_virtual_time);
-        owner.virtual_time = start + f64::from(cost) / owner.weight;
-        self.virtual_time = start;
+        let virtual_start = owner.virtual_time.max(class_virtual_time);
+        owner.virtual_time = virtual_start + f64::from(cost) / owner.weight;
+        self.virtual_time = virtual_start;
     }
 
     /// Returns the owner whose call starts next.
     fn next_owner(&self) -> Option<&ids::EntryName> {
-        let start = |owner: &OwnerQueue| owner.virtual_time.max(self.virtual_time);
+        let virtual_start = |owner: &OwnerQueue| owner.virtual_time.max(self.virtual_time);
         self.owners
             .iter()
             .filter(|(_, owner)| !owner.queued_calls.is_empty())
-            .min_by(|(_, one), (_, other)| start(one).total_cmp(&start(other)))
+            .min_by(|(_, one), (_, other)| virtual_start(one).total_cmp(&virtual_start(other)))
             .map(|(name, _)| name)
     }
 
+    /// Returns the call that starts next.
     fn head(&self) -> Option<&QueuedCall> {
         self.owners[self.next_owner()?].queued_calls.front()
     }
@@ -189,7 +194,7 @@
 
     /// Adds a call to the queue.
     pub fn push(&mut self, params: &SchedulingParams, call: QueuedCall) {
-        let queued_calls = &mut self.class(params).owner(params).queued_calls;
+        let queued_calls = &mut self.class_mut(params).owner_mut(params).queued_calls;
         let place =
             queued_calls.partition_point(|other| other.start_deadline <= call.start_deadline);
         queued_calls.insert(place, call);
@@ -197,8 +202,8 @@
 
     /// Charges a call that starts without waiting to its owner's virtual time.
     pub fn charge(&mut self, params: &SchedulingParams, cost: u32) {
-        let class = self.class(params);
-        class.owner(params);
+        let class = self.class_mut(params);
+        class.owner_mut(params);
         class.start(&params.owner, cost);
     }
 
@@ -264,8 +269,8 @@
         if self.len() < capacity {
             return CapacityResult::Free;
         }
-        let arriving = self.class(params);
-        let is_within_reserve = arriving.len() < arriving.reserved_places(capacity);
+        let arriving_class = self.class_mut(params);
+        let is_within_reserve = arriving_class.len() < arriving_class.reserved_places(capacity);
         let yielding = self
             .classes
             .iter()
@@ -285,18 +290,18 @@
 
     /// Returns the expected run time of the queued calls that would start before a call that
     /// arrives now with this start deadline, in slot-seconds.
-    pub fn work_ahead(
+    pub fn work_ahead_s(
         &self,
         params: &SchedulingParams,
         start_deadline: time::MonotonicTime,
     ) -> f64 {
-        let Some(own) = self.classes.get(&params.class) else {
+        let Some(own_class) = self.classes.get(&params.class) else {
             return self.higher_priority_work_s(params.rank);
         };
-        let own_owner = own.owners.get(&params.owner);
-        let own_work_s = own_owner.map_or(0.0, |owner| owner.work_before_s(start_deadline));
+        let own_queue = own_class.owners.get(&params.owner);
+        let own_work_s = own_queue.map_or(0.0, |owner| owner.work_before_s(start_deadline));
         let weight = f64::from(params.weight.max(1));
-        let other_work_s: f64 = own
+        let other_work_s: f64 = own_class
             .owners
             .iter()
             .filter(|(name, owner)| **name != params.owner && !owner.queued_calls.is_empty())
@@ -307,19 +312,21 @@
             })
             .sum();
         let by_rank_s = self.higher_priority_work_s(params.rank) + own_work_s + other_work_s;
-        if own.guaranteed_share > 0.0 {
-            by_rank_s.min((own_work_s + other_work_s) / own.guaranteed_share)
+        if own_class.guaranteed_share > 0.0 {
+            by_rank_s.min((own_work_s + other_work_s) / own_class.guaranteed_share)
         } else {
             by_rank_s
         }
     }
 
+    /// Returns the expected run time of all queued calls of higher-priority classes, in
+    /// slot-seconds.
     fn higher_priority_work_s(&self, rank: u32) -> f64 {
         let higher = self.classes.values().filter(|class| class.rank < rank);
         higher.map(ClassQueue::queued_work_s).sum()
     }
 
-    fn class(&mut self, params: &SchedulingParams) -> &mut ClassQueue {
+    fn class_mut(&mut self, params: &SchedulingParams) -> &mut ClassQueue {
         let class = self.classes.entry(params.class.clone()).or_default();
         class.rank = params.rank;
         class.guaranteed_share = params.guaranteed_share;
@@ -349,6 +356,8 @@
             .map(|(name, ..)| name)
     }
 
+    /// Credits every class that has queued calls with its guaranteed share of the work that starts,
+    /// and charges the work to the class that it belongs to.
     fn update_credits(&mut self, class_name: &ids::EntryName, cost: f64) {
         for (name, class) in &mut self.classes {
             if class.len() == 0 {
@@ -361,14 +370,16 @@
         }
     }
 
+    /// Displaces a call of the arriving call's class, if an owner there has a higher weighted cost
+    /// than the arriving call's owner would have.
     fn displace_within_class(
         &mut self,
         params: &SchedulingParams,
         cost: u32,
     ) -> Option<QueuedCall> {
         let class = &mut self.classes[&params.class];
-        let own = class.owner(params);
-        let weighted_cost = (own.cost() + f64::from(cost)) / own.weight;
+        let own_queue = class.owner_mut(params);
+        let weighted_cost = (own_queue.queued_cost() + f64::from(cost)) / own_queue.weight;
         let max_weighted_cost = class
             .owners
             .values()
--- a/crates/engine/src/admission/refusal.rs
+++ b/crates/engine/src/admission/refusal.rs
@@ -21,8 +21,10 @@
         let limit = route_limit(offer, wire::LimitField::Deadline);
         return with_load(state, offer, refusal.with_limit(limit, 0));
     }
-    let latency = Duration::from_millis(u64::from(offer.latency_left_ms));
-    if latency::is_bounded(state, offer) && admission::max_queue_time(state, offer) > latency {
+    let latency_left = Duration::from_millis(u64::from(offer.latency_left_ms));
+    if latency::is_lowest_priority(state, offer)
+        && admission::max_queue_time(state, offer) > latency_left
+    {
         let admission = state.admission.targets.get(&offer.target);
         let wait = admission.map_or(Duration::ZERO, |admission| {
             admission.time_to_drain(admission::slots(state, &offer.target))
@@ -63,9 +65,9 @@
     target_refusal(state, offer, code, limit, drain_time)
 }
 
-/// Returns the refusal of a call that another target may answer sooner, or that could not be
-/// answered within its target latency. It is sent without delay, while another target may still
-/// answer in time.
+/// Returns the refusal of a call whose queue wait would be too long: another target is expected to
+/// respond sooner, or no response could meet the target latency. It is sent without delay, while
+/// another target may still respond in time.
 pub(super) fn latency_refusal(
     state: &reducer::EngineState,
     offer: &wire::CallOffer,
@@ -112,7 +114,7 @@
     refusal: wire::CallRefusal,
 ) -> wire::CallRefusal {
     wire::CallRefusal {
-        load: Some(admission::report(state, offer)),
+        load: Some(admission::load_report(state, offer)),
         ..refusal
     }
 }
--- a/crates/engine/src/admission/reserve.rs
+++ b/crates/engine/src/admission/reserve.rs
@@ -4,8 +4,8 @@
 //! That delay is negligible for a call with a target latency of seconds, but not for one with a
 //! tenth of a second, such as a short call made on behalf of a long one that holds a slot elsewhere
 //! meanwhile. If the time until a slot is released is a considerable part of the target latency of
-//! higher-priority calls, as many slots as they use on average are withheld from the lowest-priority
-//! class.
+//! higher-priority calls, as many slots as they use on average are withheld from the
+//! lowest-priority class.
 
 use std::time::Duration;
 
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -156,7 +156,7 @@
     pub load: wire::LoadReport,
 }
 
-/// Effects on calls; each is addressed to the task that carries the call.
+/// Effects on calls, each to be carried out by the task that serves the call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallEffect {
     /// Ingress node: make an attempt.
@@ -181,16 +181,16 @@
     /// Deadline of the call.
     pub deadline: time::MonotonicTime,
     /// Targets of all attempts so far, in order.
-    pub tried: Vec<ids::TargetName>,
+    pub attempted_targets: Vec<ids::TargetName>,
     /// Maximum number of attempts that the route allows.
-    pub max_tries: u32,
-    /// Whether targets in other data centres may be chosen.
+    pub max_attempts: u32,
+    /// Whether targets in other data centres may be selected.
     pub spill: bool,
     /// Highest attempt number on the call's path to this node.
     pub arrived_attempt: u32,
-    /// Attempts that another node turned away before its target was offered the call, and that
-    /// count neither against the route's tries nor against the retry budget.
-    pub placements: u32,
+    /// Attempts that the owner node refused before it sent the call to the target. They count
+    /// neither against the route's limit on attempts nor against the retry budget.
+    pub free_placements: u32,
     /// Time after which a response exceeds the route's target latency.
     pub latency_deadline: time::MonotonicTime,
     /// Whether a failed attempt may have run the call.
@@ -199,7 +199,7 @@
     pub is_outstanding: bool,
     /// Start of the latest attempt.
     pub attempted_at: time::MonotonicTime,
-    /// Group of the service's targets from which the next attempt may choose during a roll-out.
+    /// Cohort of the service's targets from which the next attempt may choose during a rollout.
     pub cohort: cohort::CallCohort,
 }
 
--- a/crates/engine/src/calls/attributes.rs
+++ b/crates/engine/src/calls/attributes.rs
@@ -36,7 +36,7 @@
     pub caller: Option<ids::EntryName>,
 }
 
-/// Attributes of a single attempt of a call.
+/// Number and time limits of a single attempt of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptTimes {
     /// Number of the attempt, from 1.
@@ -45,7 +45,7 @@
     pub deadline_left: Duration,
     /// Time left in which a response meets the route's target latency.
     pub latency_left: Duration,
-    /// Longest queue wait for which this target is still the best choice; absent if unlimited.
+    /// Longest queue wait for which no other compared target is better; absent if unlimited.
     pub max_queue_wait: Option<Duration>,
 }
 
--- a/crates/engine/src/calls/caller_timeout.rs
+++ b/crates/engine/src/calls/caller_timeout.rs
@@ -10,7 +10,7 @@
 use hazeltiller_units::ids;
 use indexmap::IndexMap;
 
-/// Latest calls of a route from which the typical timeout is estimated.
+/// Number of the latest calls of a route from which the typical timeout is estimated.
 const SAMPLE_CALLS: usize = 64;
 /// Number of calls after which the estimate is computed anew.
 const ESTIMATE_INTERVAL_CALLS: usize = 16;
@@ -54,8 +54,8 @@
         let typical = times[(times.len() as f64 * TYPICAL_QUANTILE) as usize];
         let lower = typical.mul_f64(1.0 - TYPICAL_TOLERANCE);
         let upper = typical.mul_f64(1.0 + TYPICAL_TOLERANCE);
-        let alike = times.iter().filter(|time| (lower..=upper).contains(time));
-        let is_typical = alike.count() as f64 >= times.len() as f64 * MIN_TYPICAL_SHARE;
+        let near_typical = times.iter().filter(|time| (lower..=upper).contains(time));
+        let is_typical = near_typical.count() as f64 >= times.len() as f64 * MIN_TYPICAL_SHARE;
         is_typical.then_some(typical)
     }
 }
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -71,16 +71,16 @@
             .caller_timeouts
             .record_arrival(&route.name, left)
     });
-    let times = attributes::CallDeadlines::new(route, deadline_left, elapsed, state.now);
+    let deadlines = attributes::CallDeadlines::new(route, deadline_left, elapsed, state.now);
     let cohort = rollout::draw_cohort(state, &service);
     Ok(calls::IngressCall {
         attributes: attributes::CallAttributes::new(&catalogue, route, service, arrival),
         target: None,
-        deadline: times.deadline,
-        latency_deadline: times.latency_deadline,
-        placements: 0,
-        tried: Vec::new(),
-        max_tries: route.limits.tries,
+        deadline: deadlines.deadline,
+        latency_deadline: deadlines.latency_deadline,
+        free_placements: 0,
+        attempted_targets: Vec::new(),
+        max_attempts: route.limits.tries,
         spill: route.spill,
         arrived_attempt: arrival.attempt.max(1),
         may_have_run: false,
@@ -125,6 +125,7 @@
     is_refused
 }
 
+/// Refuses a call without an offer, with the retry delay of recent refusals.
 fn refuse_throttled(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -140,7 +141,7 @@
 }
 
 /// Refuses a call for which no target is available. The retry delay ends when the first of the
-/// service's unreachable targets is tried again.
+/// service's targets that could not be connected to is retried.
 fn refuse_no_target(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -152,8 +153,8 @@
         .ingress
         .get(&call)
         .map(|record| &record.attributes.service);
-    let reachable_in = service.and_then(|service| health::connect_retry_delay(state, service));
-    let retry_delay = reachable_in.unwrap_or(TARGET_RETRY_DELAY).as_millis() as u32;
+    let connect_delay = service.and_then(|service| health::connect_retry_delay(state, service));
+    let retry_delay = connect_delay.unwrap_or(TARGET_RETRY_DELAY).as_millis() as u32;
     let retry_after_ms = add_jitter(state, retry_delay.max(1));
     let refusal = wire::CallRefusal {
         retry_after_ms,
@@ -162,7 +163,7 @@
     output.refuse(call, refusal);
 }
 
-/// Offers a call to a target that was not tried yet; returns false if there is none.
+/// Offers a call to a target that it has not been offered to yet; returns false if there is none.
 fn attempt(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -172,12 +173,15 @@
     let Some(record) = state.calls.ingress.get(&call) else {
         return false;
     };
-    let (service, tried) = (record.attributes.service.clone(), record.tried.clone());
+    let (service, attempted_targets) = (
+        record.attributes.service.clone(),
+        record.attempted_targets.clone(),
+    );
     let route = record.attributes.route.clone();
     let mut request = routing::SelectionRequest {
         service: &service,
         spill: record.spill,
-        tried: &tried,
+        attempted_targets: &attempted_targets,
         prefers_other_centres,
         route: &route,
         cohort: record.cohort,
@@ -194,19 +198,19 @@
     // At most one attempt of a call goes to a new version on trial.
     let cohort = request.cohort.after_attempt();
     let now = state.now;
-    let max_placements = state.settings.tunables.retry.free_placements as u32;
+    let max_free_placements = state.settings.tunables.retry.free_placements as u32;
     if let Some(view) = state.routing.views.get_mut(&candidate.target) {
         view.outstanding += 1;
     }
     let record = state.calls.ingress.get_mut(&call);
-    let record = record.expect("it was just found");
-    let earlier_attempts = record.tried.len() as u32;
+    let record = record.expect("it was found above");
+    let earlier_attempts = record.attempted_targets.len() as u32;
     record.is_outstanding = true;
     record.cohort = cohort;
     record.attempted_at = now;
-    record.tried.push(candidate.target.clone());
+    record.attempted_targets.push(candidate.target.clone());
     record.target = Some(candidate.target.clone());
-    let has_placements_left = record.placements < max_placements;
+    let has_free_placements_left = record.free_placements < max_free_placements;
     let times = attributes::AttemptTimes {
         attempt: record.arrived_attempt + earlier_attempts,
         deadline_left: record.deadline.since(now),
@@ -214,7 +218,9 @@
             record.latency_deadline.since(now),
             candidate.shortest_run_time,
         ),
-        max_queue_wait: candidate.patience.filter(|_| has_placements_left),
+        max_queue_wait: candidate
+            .max_queue_wait
+            .filter(|_| has_free_placements_left),
     };
     let offer = record.attributes.offer(candidate.target.clone(), times);
     let is_claimed = record.attributes.is_claimed();
@@ -250,10 +256,10 @@
         return;
     };
     let (attributes, target) = (record.attributes.clone(), record.target.clone());
-    let is_own = target
+    let is_own_target = target
         .as_ref()
         .is_some_and(|target| state.membership.targets.contains_key(target));
-    if !is_own && is_latency_refusal(&result) {
+    if !is_own_target && is_latency_refusal(&result) {
         let elapsed = state.now.since(record.attempted_at);
         state.routing.offer_cost.record(elapsed);
     }
@@ -264,15 +270,15 @@
         state.routing.sizes.record(&attributes.route, report.bytes);
     }
     let Some(proof) = retry::FailureProof::from_result(&result) else {
-        earn_budgets(state, &attributes, &result);
-        return forward_answer(call, output);
+        credit_budgets(state, &attributes, &result);
+        return forward_response(call, output);
     };
     release_outstanding(state, call);
     if retry_elsewhere(state, call, proof, is_rate_refusal(&result), output) {
         return;
     }
     if let calls::AttemptResult::Answered { .. } = result {
-        return forward_answer(call, output);
+        return forward_response(call, output);
     }
     let may_have_run = state.calls.ingress[&call].may_have_run;
     let mut refusal = retry::final_refusal(result, may_have_run);
@@ -296,6 +302,7 @@
     (f64::from(retry_after_ms) * factor).ceil() as u32
 }
 
+/// Offers a call to another target if the retry policy allows it; returns whether it did.
 fn retry_elsewhere(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -313,9 +320,9 @@
     let context = retry::RetryContext {
         proof,
         is_idempotent: record.attributes.is_idempotent,
-        tries: (record.tried.len() as u32).saturating_sub(record.placements),
-        max_tries: record.max_tries,
-        is_free_placement: u64::from(record.placements) < proof.placements(tunables),
+        attempts: (record.attempted_targets.len() as u32).saturating_sub(record.free_placements),
+        max_attempts: record.max_attempts,
+        is_free_placement: u64::from(record.free_placements) < proof.max_free_placements(tunables),
         arrived_attempt: record.arrived_attempt,
         time_left: record.deadline.since(now),
         run_time: view.map_or(Duration::ZERO, |view| {
@@ -327,21 +334,21 @@
         return false;
     }
     let spends_placement = context.is_free_placement && proof == retry::FailureProof::NotAdmitted;
-    if spends_placement && !state.retry.placements(&attributes, tunables).spend() {
+    if spends_placement && !state.retry.placement_budget(&attributes, tunables).spend() {
         return false;
     }
     let spends_retry = proof.uses_budget() && !context.is_free_placement;
-    if spends_retry && !state.retry.budget(&attributes, tunables).spend() {
+    if spends_retry && !state.retry.retry_budget(&attributes, tunables).spend() {
         return false;
     }
-    record.placements += u32::from(context.is_free_placement);
+    record.free_placements += u32::from(context.is_free_placement);
     record.may_have_run |= proof == retry::FailureProof::MayHaveRun;
-    let is_tried = attempt(state, call, prefers_other_centres, output);
-    if !is_tried && spends_retry {
+    let is_attempted = attempt(state, call, prefers_other_centres, output);
+    if !is_attempted && spends_retry {
         let tunables = &state.settings.tunables.retry;
-        state.retry.budget(&attributes, tunables).refund();
+        state.retry.retry_budget(&attributes, tunables).refund();
     }
-    is_tried
+    is_attempted
 }
 
 /// Updates the ingress node's view of a target from the result of an attempt.
@@ -382,15 +389,16 @@
     }
 }
 
-fn earn_budgets(
+/// Credits the retry and placement budgets for a successful attempt.
+fn credit_budgets(
     state: &mut reducer::EngineState,
     attributes: &attributes::CallAttributes,
     result: &calls::AttemptResult,
 ) {
     if retry::is_success(result) {
         let tunables = &state.settings.tunables.retry;
-        state.retry.budget(attributes, tunables).earn();
-        state.retry.placements(attributes, tunables).earn();
+        state.retry.retry_budget(attributes, tunables).earn();
+        state.retry.placement_budget(attributes, tunables).earn();
     }
 }
 
@@ -426,7 +434,7 @@
     }
 }
 
-fn forward_answer(call: ids::CallId, output: &mut event::ReducerOutput) {
+fn forward_response(call: ids::CallId, output: &mut event::ReducerOutput) {
     let effect = calls::CallEffect::ForwardAnswer(call);
     output.effects.push(event::Effect::Calls(effect));
 }
--- a/crates/engine/src/calls/owner.rs
+++ b/crates/engine/src/calls/owner.rs
@@ -35,8 +35,8 @@
         return output.refuse(call, refusal);
     }
     let deadline = state.now + Duration::from_millis(u64::from(offer.deadline_left_ms));
-    let answer = admission::admit(state, call, &offer);
-    if let admission::AdmissionDecision::Refuse(refusal) = answer {
+    let decision = admission::admit(state, call, &offer);
+    if let admission::AdmissionDecision::Refuse(refusal) = decision {
         return output.refuse(call, refusal);
     }
     let record = calls::OwnerCall {
@@ -46,14 +46,14 @@
         started: None,
     };
     state.calls.owner.insert(call, record);
-    match answer {
+    match decision {
         admission::AdmissionDecision::Run => start_run(state, call, output),
         admission::AdmissionDecision::Wait { displaced } => {
             if let Some(displaced) = displaced {
                 refuse_displaced(state, displaced, output);
             }
         }
-        admission::AdmissionDecision::Refuse(_) => unreachable!("refusals were handled"),
+        admission::AdmissionDecision::Refuse(_) => unreachable!("refusals were handled above"),
     }
 }
 
@@ -87,10 +87,11 @@
     state: &reducer::EngineState,
     target: &ids::TargetName,
 ) -> ids::IncarnationNumber {
-    let own = state.membership.targets.get(target);
-    own.map_or_else(Default::default, |own| own.record.incarnation)
+    let own_target = state.membership.targets.get(target);
+    own_target.map_or_else(Default::default, |own_target| own_target.record.incarnation)
 }
 
+/// Refuses a queued call that lost its place in a full queue.
 fn refuse_displaced(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -113,6 +114,7 @@
     }
 }
 
+/// Orders the run of a call that got a slot.
 fn start_run(
     state: &mut reducer::EngineState,
     call: ids::CallId,
@@ -125,12 +127,12 @@
     record.started = Some(now);
     let target = record.offer.target.clone();
     let (deadline, first_byte_ms) = (record.deadline, record.offer.first_byte_ms);
-    let Some(own) = state.membership.targets.get(&target) else {
+    let Some(own_target) = state.membership.targets.get(&target) else {
         return calls::refuse(call, code::ResultCode::TargetMissing, output);
     };
-    let load = admission::report(state, &state.calls.owner[&call].offer);
+    let load = admission::load_report(state, &state.calls.owner[&call].offer);
     let plan = calls::RunPlan {
-        address: own.record.address,
+        address: own_target.record.address,
         first_byte: Duration::from_millis(u64::from(first_byte_ms)).min(deadline.since(now)),
         deadline,
         load,
@@ -157,15 +159,15 @@
         return admission::remove_queued(state, &offer.target, call);
     };
     let is_same_incarnation = record.incarnation == incarnation_of(state, &offer.target);
-    let is_known = state.membership.targets.contains_key(&offer.target);
-    if is_known && !is_same_incarnation {
+    let is_registered = state.membership.targets.contains_key(&offer.target);
+    if is_registered && !is_same_incarnation {
         return;
     }
     let is_late = record.deadline <= state.now;
     health::record_run_result(state, &offer.target, result, is_late);
     if result == calls::RunResult::WrongTarget {
-        let misplaced = membership::MembershipEvent::WrongTarget(offer.target.clone());
-        output.enqueue(event::Event::Membership(misplaced));
+        let wrong_target = membership::MembershipEvent::WrongTarget(offer.target.clone());
+        output.enqueue(event::Event::Membership(wrong_target));
     }
     let elapsed = state.now.since(started);
     rollout::record_run(state, offer, elapsed, result);
--- a/crates/engine/src/calls/throttle.rs
+++ b/crates/engine/src/calls/throttle.rs
@@ -1,7 +1,7 @@
 //! Adaptive throttling at the ingress node: refuses calls without an offer while no target has
 //! capacity for most of the recent ones.
 //!
-//! An offer that is turned away costs processor time on two nodes and delays the caller. While more
+//! An offer that is refused costs processor time on two nodes and delays the caller. While more
 //! calls arrive than targets admit, the ingress node offers only twice as many as were recently
 //! admitted, which is enough to detect returning capacity, and refuses the rest immediately. The
 //! statistics are kept for each pair of service and route, since targets do not admit all routes of
@@ -44,7 +44,7 @@
 }
 
 impl RouteThrottle {
-    /// Returns the share of calls to refuse at present.
+    /// Returns the share of calls to refuse without an offer at present.
     fn refused_share(&mut self, now: time::MonotonicTime) -> f64 {
         self.decay(now);
         if self.arrived < MIN_CALLS {
@@ -54,6 +54,7 @@
         (1.0 - max_offered / self.arrived).clamp(0.0, MAX_REFUSED_SHARE)
     }
 
+    /// Returns the decayed number of offered calls for which a target had capacity.
     fn admitted(&self) -> f64 {
         (self.offered - self.without_capacity).max(0.0)
     }
@@ -85,7 +86,7 @@
 pub struct ThrottleTable(IndexMap<(ids::EntryName, ids::EntryName), RouteThrottle>);
 
 impl ThrottleTable {
-    /// Returns the share of calls to refuse at present.
+    /// Returns the share of calls to refuse without an offer at present.
     pub fn refused_share(
         &mut self,
         service: &ids::EntryName,
--- a/crates/engine/src/retry.rs
+++ b/crates/engine/src/retry.rs
@@ -44,9 +44,9 @@
         }
     }
 
-    /// Returns the policy for further offers to nodes that may have capacity. Each offer costs
-    /// processor time on two nodes; without a bound, the nodes would be busiest when all targets
-    /// are full, and responses would be late.
+    /// Returns the policy for placements: further offers in search of a target with capacity. Each
+    /// offer costs processor time on two nodes; without a bound, the nodes would be busiest when
+    /// all targets are full, and responses would be late.
     pub fn for_placements(tunables: &settings::RetryTunables) -> Self {
         Self {
             earned_percent: tunables.placement_percent,
@@ -99,14 +99,16 @@
     }
 }
 
-/// Budgets by service and class, so that refusals of one class do not spend another's budget.
+/// Budgets by service and class, so that refusals of one class do not use up another's budget.
 type BudgetTable = IndexMap<(ids::EntryName, ids::EntryName), RetryBudget>;
 
-/// Budgets of this node.
+/// Retry and placement budgets of this node.
 #[derive(Debug, Clone, Default)]
 pub struct RetryState {
-    budgets: BudgetTable,
-    placements: BudgetTable,
+    /// Budgets of retries.
+    retry_budgets: BudgetTable,
+    /// Budgets of further offers in search of a target with capacity.
+    placement_budgets: BudgetTable,
 }
 
 impl RetryState {
@@ -114,32 +116,32 @@
     pub fn budgets(
         &self,
     ) -> impl Iterator<Item = (&ids::EntryName, &ids::EntryName, &RetryBudget)> {
-        self.budgets
+        self.retry_budgets
             .iter()
             .map(|((service, class), budget)| (service, class, budget))
     }
 
     /// Returns the retry budget of a call's service and class.
-    pub fn budget(
+    pub fn retry_budget(
         &mut self,
         attributes: &calls::attributes::CallAttributes,
         tunables: &settings::RetryTunables,
     ) -> &mut RetryBudget {
         let key = (attributes.service.clone(), attributes.class.clone());
         let policy = BudgetPolicy::for_retries(tunables);
-        let budget = self.budgets.entry(key);
+        let budget = self.retry_budgets.entry(key);
         budget.or_insert_with(|| RetryBudget::new(policy))
     }
 
-    /// Returns the budget of further offers of a call's service and class.
-    pub fn placements(
+    /// Returns the placement budget of a call's service and class.
+    pub fn placement_budget(
         &mut self,
         attributes: &calls::attributes::CallAttributes,
         tunables: &settings::RetryTunables,
     ) -> &mut RetryBudget {
         let key = (attributes.service.clone(), attributes.class.clone());
         let policy = BudgetPolicy::for_placements(tunables);
-        let budget = self.placements.entry(key);
+        let budget = self.placement_budgets.entry(key);
         budget.or_insert_with(|| RetryBudget::new(policy))
     }
 }
@@ -202,9 +204,10 @@
         }
     }
 
-    /// Returns how many further offers a call may make beyond the route's tries. The owner node
-    /// turned the call away before its target was offered it, so another attempt repeats nothing.
-    pub fn placements(self, tunables: &settings::RetryTunables) -> u64 {
+    /// Returns the maximum number of free placements of a call: attempts in excess of the route's
+    /// limit. The owner node refused the call before it sent it to the target, so another attempt
+    /// repeats nothing.
+    pub fn max_free_placements(self, tunables: &settings::RetryTunables) -> u64 {
         match self {
             Self::TargetUnavailable => tunables.free_placements.max(tunables.leaving_placements),
             Self::NotAdmitted => tunables.free_placements,
@@ -214,7 +217,7 @@
 
     /// Returns whether a retry is paid from the budget. If the call reached no target, the retry
     /// merely replaces the failed attempt; the number of such retries is bounded by the route's
-    /// tries and by the ejection of the target.
+    /// limit on attempts and by the ejection of the target.
     pub fn uses_budget(self) -> bool {
         self != Self::TargetUnavailable
     }
@@ -227,12 +230,12 @@
     pub proof: FailureProof,
     /// Whether the call may safely run more than once.
     pub is_idempotent: bool,
-    /// Attempts of this ingress node so far that count against the route's tries.
-    pub tries: u32,
-    /// Tries that the route allows.
-    pub max_tries: u32,
-    /// Whether the next attempt is a free placement, which does not count against the route's
-    /// tries.
+    /// Attempts of this ingress node so far that count against the route's limit on attempts.
+    pub attempts: u32,
+    /// Maximum number of attempts that the route allows.
+    pub max_attempts: u32,
+    /// Whether the next attempt is a free placement, which does not count against the route's limit
+    /// on attempts.
     pub is_free_placement: bool,
     /// Highest attempt number on the call's path to this node.
     pub arrived_attempt: u32,
@@ -254,7 +257,7 @@
             FailureProof::MayHaveRun => self.is_idempotent && self.arrived_attempt <= 1,
         };
         let is_in_time = !self.time_left.is_zero() && self.time_left >= self.run_time;
-        let has_attempts_left = self.is_free_placement || self.tries < self.max_tries;
+        let has_attempts_left = self.is_free_placement || self.attempts < self.max_attempts;
         is_harmless && is_in_time && has_attempts_left
     }
 }
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -370,7 +370,7 @@
 
 /// Returns the number of calls that run or wait at an own target.
 fn in_flight(state: &reducer::EngineState, target: &ids::TargetName) -> u32 {
-    admission::in_use(state, target)
+    admission::in_flight(state, target)
 }
 
 fn peer_message(message: wire::RolloutMessage) -> hazeltiller_wire::message::PeerMessage {
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -1,10 +1,10 @@
 //! Selects the route of a request and the target that the request is offered to.
 //!
 //! Selection uses the power of two choices: of two random targets, the one with fewer requests per
-//! slot is chosen. Load is reported by the owner nodes with every answer; the load pages of the
-//! targets are not polled, because they lag behind. Targets in the same data centre are preferred.
-//! A call goes to another data centre when no near target has a free slot according to its last
-//! report, or when no near target is left.
+//! slot is chosen. Load is reported by the owner nodes with every response; the load endpoints of
+//! the targets are not polled, because they lag behind. Targets in the same data centre are
+//! preferred. A call goes to another data centre when no near target has a free slot according to
+//! its last report, or when no near target is left.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -42,9 +42,9 @@
     pub instance: ids::InstanceName,
     /// Peer address of the owner node.
     pub address: SocketAddr,
-    /// Longest queueing time at the target for which no other compared target is better; `None` if
+    /// Longest queue wait at the target for which no other compared target is better; `None` if
     /// there is no alternative.
-    pub patience: Option<Duration>,
+    pub max_queue_wait: Option<Duration>,
     /// Shortest known run time among the compared targets.
     pub shortest_run_time: Option<Duration>,
     /// Software version and cohort of the target while its service has a rollout in progress.
@@ -56,7 +56,8 @@
 struct TargetSelection {
     /// Index into the target list of the service.
     index: usize,
-    patience: Option<Duration>,
+    /// Longest queue wait for which no other compared target is better.
+    max_queue_wait: Option<Duration>,
     /// Shortest known run time among the compared targets.
     shortest_run_time: Option<Duration>,
 }
@@ -66,7 +67,7 @@
     fn without_alternative(index: usize) -> Self {
         Self {
             index,
-            patience: None,
+            max_queue_wait: None,
             shortest_run_time: None,
         }
     }
@@ -79,11 +80,12 @@
     pub service: &'a ids::EntryName,
     /// Whether targets of other data centres may take the call.
     pub spill: bool,
-    /// Targets that have already been tried for this call.
-    pub tried: &'a [ids::TargetName],
+    /// Targets of the call's earlier attempts, which are left out.
+    pub attempted_targets: &'a [ids::TargetName],
     /// Route that the call matched.
     pub route: &'a ids::EntryName,
-    /// Whether to prefer other data centres, because the own one is over a limit.
+    /// Whether to prefer other data centres, because a node of this one refused the call for its
+    /// owner's rate limit.
     pub prefers_other_centres: bool,
     /// Cohorts of the service's targets that may take the call while a rollout is in progress.
     pub cohort: cohort::CallCohort,
@@ -100,7 +102,7 @@
     pub table: table::TargetTable,
     /// Mean body size of the calls by route.
     pub sizes: size::RouteSizes,
-    /// Cost of an offer that another node declines.
+    /// Cost of an offer that another node refuses.
     pub offer_cost: offer::OfferCost,
     /// Mean load from other nodes per slot, by service.
     pub service_loads: mean_load::ServiceLoads,
@@ -129,15 +131,17 @@
 #[derive(Debug, Clone, Copy)]
 struct ScoredTarget {
     index: usize,
+    /// Share of its calls that the target gets during its slow start.
     slow_start_share: f64,
+    /// Requests per slot, including one more call.
     pressure: f64,
     /// Measured run time in seconds, if there is a recent one.
     run_time_s: Option<f64>,
 }
 
 impl ScoredTarget {
-    /// Returns the score against the other target of a pair; lower is better. The score grows with
-    /// pressure, and with run time if this target is clearly slower.
+    /// Returns the score in comparison with another target; lower is better. The score grows with
+    /// pressure, and with run time if this target is clearly slower than the other.
     fn score(&self, alternative: &Self) -> f64 {
         let slowness = match (self.run_time_s, alternative.run_time_s) {
             (Some(own_s), Some(other_s)) if own_s > other_s * MIN_SLOWNESS_FACTOR => {
@@ -149,7 +153,8 @@
     }
 }
 
-/// Selects the target for the next attempt of a call; `None` if no untried target is left.
+/// Selects the target for the next attempt of a call; `None` if there is none that the call has not
+/// been offered to yet.
 pub fn choose(
     state: &mut reducer::EngineState,
     request: &SelectionRequest,
@@ -174,7 +179,7 @@
         target: target.target.clone(),
         instance: target.instance.clone(),
         address: target.address,
-        patience: selection.patience,
+        max_queue_wait: selection.max_queue_wait,
         shortest_run_time: selection.shortest_run_time,
     })
 }
@@ -225,6 +230,7 @@
     None
 }
 
+/// Returns the distances that a request allows, in order of preference.
 fn distances(request: &SelectionRequest) -> Vec<table::TargetDistance> {
     let mut distances = table::TargetDistance::ALL.to_vec();
     if !request.spill {
@@ -235,6 +241,7 @@
     distances
 }
 
+/// Returns the targets that satisfy `is_eligible` and the request, with the inputs of their scores.
 fn score_targets(
     state: &reducer::EngineState,
     request: &SelectionRequest,
@@ -254,7 +261,7 @@
         .filter(|(index, target)| {
             is_eligible(*index, target)
                 && request.cohort.admits(target.cohort)
-                && !request.tried.contains(&target.target)
+                && !request.attempted_targets.contains(&target.target)
         })
         .map(|(index, target)| {
             let view = &state.routing.views[&target.target];
--- a/crates/engine/src/routing/expected_latency.rs
+++ b/crates/engine/src/routing/expected_latency.rs
@@ -1,10 +1,10 @@
-//! Selects the target that is expected to answer first.
+//! Selects the target that is expected to respond first.
 //!
 //! Targets of one service can differ in speed by a factor of several, so request counts do not tell
-//! which one answers first; the time until a slot is free and the run time do. The load that other
+//! which one responds first; the time until a slot is free and the run time do. The load that other
 //! nodes cause is known only as of the last report, so the owner node of the target checks the
-//! selection: the offer carries the longest queueing time that is still better than the second-best
-//! target, and the owner node declines at once if the wait would be longer.
+//! selection: the offer carries the longest queue wait with which the target is still better than
+//! the second-best one, and the owner node refuses at once if the wait would be longer.
 
 use std::time::Duration;
 
@@ -23,15 +23,19 @@
 
 const BYTES_PER_KILOBYTE: f64 = 1e3;
 
+/// A compared target with its expected times in seconds.
 struct ExpectedTarget {
+    /// Index into the target list of the service.
     index: usize,
-    queueing_s: f64,
+    /// Time until a slot is free.
+    queue_wait_s: f64,
+    /// Time until the response, including the penalties for utilisation and distance.
     latency_s: f64,
     /// Measured run time in seconds, if there is a recent one.
     run_time_s: Option<f64>,
 }
 
-/// Selects among the healthy and reachable targets.
+/// Selects among the healthy and reachable targets; `None` if there is none.
 pub(super) fn choose(
     state: &mut reducer::EngineState,
     request: &SelectionRequest,
@@ -46,7 +50,7 @@
             && (request.spill || target.distance == table::TargetDistance::SameDataCentre)
             && !ejected.contains(index)
             && request.cohort.admits(target.cohort)
-            && !request.tried.contains(&target.target)
+            && !request.attempted_targets.contains(&target.target)
             && views[&target.target].admits_call(now)
     };
     let eligible = targets.iter().enumerate().filter(is_eligible);
@@ -65,13 +69,13 @@
     let shortest_run_time = run_times
         .min_by(f64::total_cmp)
         .map(Duration::from_secs_f64);
-    let patience = expected.get(1).map(|next| {
-        let max_queueing_s = best.queueing_s + next.latency_s - best.latency_s;
-        Duration::from_secs_f64(max_queueing_s.max(0.0) + offer_cost_s)
+    let max_queue_wait = expected.get(1).map(|next| {
+        let max_queue_wait_s = best.queue_wait_s + next.latency_s - best.latency_s;
+        Duration::from_secs_f64(max_queue_wait_s.max(0.0) + offer_cost_s)
     });
     Some(TargetSelection {
         index: best.index,
-        patience,
+        max_queue_wait,
         shortest_run_time,
     })
 }
@@ -93,7 +97,7 @@
     indexes: &[usize],
     count: usize,
 ) -> Vec<usize> {
-    let mean_run_time_s = mean_run_time(state, request, indexes);
+    let mean_run_time_s = mean_run_time_s(state, request, indexes);
     let targets = state.routing.table.of_service(request.service);
     let weight = |index: &usize| {
         let target = &targets[*index];
@@ -125,23 +129,24 @@
 }
 
 /// Returns the mean run time in seconds of those targets that have a measured one.
-fn mean_run_time(
+fn mean_run_time_s(
     state: &reducer::EngineState,
     request: &SelectionRequest,
     indexes: &[usize],
 ) -> f64 {
     let targets = state.routing.table.of_service(request.service);
-    let known = indexes.iter().map(|index| &targets[*index]);
-    let known: Vec<f64> = known
+    let compared = indexes.iter().map(|index| &targets[*index]);
+    let measured: Vec<f64> = compared
         .filter_map(|target| measured_run_time_s(state, request, target))
         .collect();
-    if known.is_empty() {
+    if measured.is_empty() {
         DEFAULT_RUN_TIME_S
     } else {
-        known.iter().sum::<f64>() / known.len() as f64
+        measured.iter().sum::<f64>() / measured.len() as f64
     }
 }
 
+/// Estimates the expected times of these targets for the call.
 fn estimate(
     state: &reducer::EngineState,
     request: &SelectionRequest,
@@ -152,9 +157,9 @@
     let service_load = state.routing.service_loads.of_service(request.service);
     let tunables = &state.settings.tunables.routing;
     let far_run_share = tunables.far_run_percent as f64 / settings::PERCENT;
-    let kilobytes = state.routing.sizes.of_route(request.route) / BYTES_PER_KILOBYTE;
-    let transfer_s = settings::millis(tunables.far_kilobyte_ms).as_secs_f64() * kilobytes;
-    let mean_run_time_s = mean_run_time(state, request, indexes);
+    let transfer_kilobytes = state.routing.sizes.of_route(request.route) / BYTES_PER_KILOBYTE;
+    let transfer_s = settings::millis(tunables.far_kilobyte_ms).as_secs_f64() * transfer_kilobytes;
+    let mean_run_time_s = mean_run_time_s(state, request, indexes);
     let offer_cost_s = state.routing.offer_cost.seconds();
     let estimate_one = |index: &usize| {
         let target = &targets[*index];
@@ -166,15 +171,15 @@
             .unwrap_or(run_time_s);
         let slots = f64::from(view.usable_slots(target.slots));
         let is_own = target.instance == state.settings.identity.instance;
-        // Both alternatives include the call that is being placed.
-        let in_use = if is_own {
-            1.0 + f64::from(admission::in_use(state, &target.target))
+        // Both values include the call for which a target is selected.
+        let in_flight = if is_own {
+            1.0 + f64::from(admission::in_flight(state, &target.target))
         } else {
             f64::from(target.slots)
                 * view.pressure(target.slots, service_load, state.now, half_life)
         };
-        let queueing_s = (in_use - slots).max(0.0) * slot_hold_s / slots.max(1.0);
-        let distance_s = match target.distance {
+        let queue_wait_s = (in_flight - slots).max(0.0) * slot_hold_s / slots.max(1.0);
+        let distance_penalty_s = match target.distance {
             _ if is_own => 0.0,
             table::TargetDistance::SameDataCentre => offer_cost_s,
             table::TargetDistance::SameRegion => {
@@ -182,14 +187,14 @@
             }
             table::TargetDistance::Remote => offer_cost_s + REMOTE_REGION_PENALTY_S,
         };
-        let utilisation = (in_use / slots.max(1.0)).min(1.0);
+        let utilisation = (in_flight / slots.max(1.0)).min(1.0);
         ExpectedTarget {
             index: *index,
-            queueing_s,
+            queue_wait_s,
             run_time_s: measured_s,
-            latency_s: queueing_s
+            latency_s: queue_wait_s
                 + run_time_s * (1.0 + UTILISATION_PENALTY_SHARE * utilisation)
-                + distance_s,
+                + distance_penalty_s,
         }
     };
     indexes.iter().map(estimate_one).collect()
--- a/crates/engine/src/routing/mean_load.rs
+++ b/crates/engine/src/routing/mean_load.rs
@@ -2,8 +2,8 @@
 //!
 //! A node learns the load of a target only when it sends it a call, so in a large fleet most of
 //! what it knows is seconds old. The mean of the recent reports of all targets of a service is the
-//! estimate for a target whose own report is old. Without an estimate, every node would take the
-//! target that it has not used for longest for idle, and all nodes would select the same one.
+//! estimate for a target whose own report is old. Without an estimate, every node would assume that
+//! the target it has not used for longest is idle, and all nodes would select the same one.
 
 use hazeltiller_units::ids;
 use indexmap::IndexMap;
--- a/crates/engine/src/routing/offer.rs
+++ b/crates/engine/src/routing/offer.rs
@@ -1,9 +1,9 @@
 //! Cost of an offer to another node.
 //!
-//! An offer that is declined has cost a round trip and work on both nodes: some tens of
-//! milliseconds if a node has a narrow link or a tenth of a core. The cost is measured, so that
-//! nodes which are short of either make fewer offers: they accept a short queueing time instead of
-//! offering the call elsewhere, and prefer their own target.
+//! An offer that is refused has cost a round trip and work on both nodes: some tens of milliseconds
+//! if a node has a narrow link or a tenth of a core. The cost is measured, so that nodes which are
+//! short of either make fewer offers: they accept a short queue wait instead of offering the call
+//! elsewhere, and prefer their own target.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 /// Weight of a new sample in the moving average, which thus spans about the last twenty offers.
 const SMOOTHING_FACTOR: f64 = 0.05;
 
-/// Exponential moving average of the time from an offer until it is declined, in seconds.
+/// Exponential moving average of the time from an offer until it is refused, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OfferCost(f64);
 
@@ -27,7 +27,7 @@
 }
 
 impl OfferCost {
-    /// Records the duration of an offer that was declined without queueing.
+    /// Records the duration of an offer that was refused without queueing.
     pub fn record(&mut self, duration: Duration) {
         let sample_s = duration.as_secs_f64().min(MAX_SAMPLE_S);
         self.0 += SMOOTHING_FACTOR * (sample_s - self.0);
--- a/crates/engine/src/routing/size.rs
+++ b/crates/engine/src/routing/size.rs
@@ -1,7 +1,7 @@
 //! Mean body size of the calls of each route.
 //!
 //! Traffic between data centres is costly, and routes differ a hundredfold in body size. A small
-//! answer may come from another data centre if that saves a little time, a large one only if it
+//! response may come from another data centre if that saves a little time, a large one only if it
 //! saves much.
 
 use hazeltiller_units::ids;
--- a/crates/engine/src/routing/split.rs
+++ b/crates/engine/src/routing/split.rs
@@ -1,10 +1,10 @@
 //! Selects the service for each call of a split route.
 //!
 //! Services are selected by smooth weighted round robin: each call adds every part's weight to the
-//! part's credit, and the part with the highest credit is selected and pays the sum of the weights.
-//! Each part thus stays within one call of its share at any time on this node, which random
-//! selection does not guarantee. A part without capacity keeps its share: its excess calls are
-//! refused, not moved to another service.
+//! part's credit, and the part with the highest credit is selected and has the sum of the weights
+//! deducted. Each part thus stays within one call of its share at any time on this node, which
+//! random selection does not guarantee. A part without capacity keeps its share: its excess calls
+//! are refused, not moved to another service.
 
 use hazeltiller_catalogue::entry;
 use hazeltiller_units::ids;
--- a/crates/engine/src/routing/table.rs
+++ b/crates/engine/src/routing/table.rs
@@ -80,8 +80,8 @@
     }
 
     /// Returns the number of slots of a service's ready targets over the whole fleet, unreachable
-    /// ones included. During a rollout only the larger of the two cohort groups counts, since
-    /// either the present or the new version carries the service.
+    /// ones included. During a rollout only the version with more slots counts, since either the
+    /// old or the new version carries the service.
     pub fn slots(&self, service: &ids::EntryName) -> u32 {
         let targets = self.of_service(service).iter();
         let sum_slots = |is_counted: fn(&&ReadyTarget) -> bool| -> u32 {
@@ -91,9 +91,9 @@
                 .map(|target| target.slots)
                 .sum()
         };
-        let present_slots = sum_slots(|target| target.cohort == cohort::TargetCohort::Present);
+        let old_slots = sum_slots(|target| target.cohort == cohort::TargetCohort::Present);
         let new_slots = sum_slots(|target| target.cohort != cohort::TargetCohort::Present);
-        present_slots.max(new_slots)
+        old_slots.max(new_slots)
     }
 }
 
@@ -134,9 +134,10 @@
     };
 }
 
+/// Returns the ready targets by service, not yet assigned to cohorts.
 fn build(state: &reducer::EngineState) -> IndexMap<ids::EntryName, Vec<ReadyTarget>> {
     let mut by_service: IndexMap<ids::EntryName, Vec<ReadyTarget>> = IndexMap::new();
-    let own = &state.settings.identity;
+    let own_identity = &state.settings.identity;
     let catalogue = &state.dissemination.in_force;
     for member in state.membership.present() {
         let records = member.targets.iter();
@@ -149,8 +150,8 @@
                 target: record.name.clone(),
                 instance: member.identity.instance.clone(),
                 address: member.identity.address,
-                distance: TargetDistance::between(own, &member.identity),
-                is_reachable: member.identity.instance == own.instance
+                distance: TargetDistance::between(own_identity, &member.identity),
+                is_reachable: member.identity.instance == own_identity.instance
                     || state.membership.is_reachable(&member.identity.instance),
                 slots,
                 incarnation: record.incarnation,
--- a/crates/engine/src/routing/view.rs
+++ b/crates/engine/src/routing/view.rs
@@ -8,11 +8,11 @@
 
 use crate::health;
 
-/// Share of its calls that a new target gets at the beginning of its slow start.
+/// Share of its usual calls that a target gets at the beginning of its slow start.
 const MIN_SLOW_START_SHARE: f64 = 0.1;
 /// Age in half-lives from which a measured run time is ignored.
 const MAX_AGE_HALF_LIVES: u32 = 5;
-/// Number of routes whose run times are tracked per target.
+/// Maximum number of routes whose run times are kept for each target.
 const MAX_ROUTES: usize = 16;
 
 /// The state of one target on the ingress side of this process.
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Records a report that came with an answer. Must be called while the answered call is still
+    /// Records a report that came with the end of a call. Must be called while the call is still
     /// counted as outstanding.
     pub fn record_load_report(
         &mut self,
@@ -143,15 +143,15 @@
     }
 
     /// Returns how many of the announced slots the owner node uses, as of the last report.
-    pub fn usable_slots(&self, announced: u32) -> u32 {
+    pub fn usable_slots(&self, announced_slots: u32) -> u32 {
         let reported_slots = self
             .last_report
-            .map_or(announced, |sample| sample.load.slots);
-        reported_slots.min(announced).max(1)
+            .map_or(announced_slots, |sample| sample.load.slots);
+        reported_slots.min(announced_slots).max(1)
     }
 
     /// Returns the measured run time of a route in seconds; `None` if it is too old, so that the
-    /// target is tried again.
+    /// target is measured again.
     pub fn recent_run_time_s(
         &self,
         route: &ids::EntryName,
@@ -187,10 +187,11 @@
     /// Returns the share of its calls that the target gets, which grows linearly over the slow
     /// start.
     pub fn slow_start_share(&self, now: time::MonotonicTime, slow_start: Duration) -> f64 {
-        let Some(start) = self.ready_since else {
+        let Some(ready_since) = self.ready_since else {
             return 1.0;
         };
-        let share = now.since(start).as_secs_f64() / slow_start.as_secs_f64().max(f64::EPSILON);
+        let share =
+            now.since(ready_since).as_secs_f64() / slow_start.as_secs_f64().max(f64::EPSILON);
         share.clamp(MIN_SLOW_START_SHARE, 1.0)
     }
 }
--- a/crates/engine/tests/expected.rs
+++ b/crates/engine/tests/expected.rs
@@ -123,7 +123,7 @@
     assert_eq!(spread, IndexMap::from([("far".into(), 4)]));
 }
 
-/// A node without a free slot declines the offer; this uses up neither an attempt of the route nor
+/// A node without a free slot refuses the offer; this uses up neither an attempt of the route nor
 /// retry budget.
 #[test]
 fn next_place_free() {
@@ -131,7 +131,7 @@
     let mut ingress = Ingress::new(&names.map(|name| (name, "brasov-a", 100)));
     let mut plan = ingress.arrive();
     let call = ids::CallId(ingress.last_call);
-    let mut tried = vec![plan.offer.target.to_string()];
+    let mut attempted = vec![plan.offer.target.to_string()];
     for _ in 0..2 {
         assert!(
             plan.offer.patience_ms < 1000,
@@ -153,10 +153,10 @@
                 _ => None,
             })
             .expect("there is another target");
-        tried.push(plan.offer.target.to_string());
+        attempted.push(plan.offer.target.to_string());
     }
-    tried.sort();
-    assert_eq!(tried, ["one", "three", "two"]);
+    attempted.sort();
+    assert_eq!(attempted, ["one", "three", "two"]);
     assert_eq!(plan.offer.patience_ms, u32::MAX, "there is no other target");
     ingress.node.advance(Duration::from_millis(20));
 }
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Declines one offer after the given time.
-    fn decline_after(&mut self, took: Duration) {
+    /// Refuses one offer after the given time.
+    fn refuse_after(&mut self, took: Duration) {
         self.arrive();
         let call = ids::CallId(self.last_call);
         self.node.advance(took);
@@ -191,7 +191,7 @@
     }
 }
 
-/// Traffic between data centres is costly: where the near target is 60 ms slower, a small answer
+/// Traffic between data centres is costly: where the near target is 60 ms slower, a small response
 /// comes from the other data centre and one of 20 kilobytes does not.
 #[test]
 fn large_stay_near() {
@@ -206,7 +206,7 @@
 }
 
 /// A node that measures a high cost of offers makes fewer of them: it prefers its own target, and
-/// offers a call elsewhere only if that saves more queueing time than an offer costs.
+/// offers a call elsewhere only if that saves more queue wait than an offer costs.
 #[test]
 fn costly_offers() {
     let mut ingress = Ingress::new(&[("other", "brasov-a", 100)]);
@@ -222,7 +222,7 @@
     let mut cheap = Ingress::new(&[("one", "brasov-a", 100), ("two", "brasov-a", 100)]);
     let before = cheap.arrive().offer.patience_ms;
     for _ in 0..60 {
-        cheap.decline_after(Duration::from_millis(80));
+        cheap.refuse_after(Duration::from_millis(80));
     }
     cheap.report("one", 0, 100_000);
     cheap.report("two", 0, 100_000);
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: only if harmless, within their budget, and without multiplying over hops.
+//! Tests of retries: only if harmless, within their budget, and without multiplying over hops.
 
 use std::time::Duration;
 
@@ -141,30 +141,30 @@
 
 #[test]
 fn other_target_each_try() {
-    // The route's tries count attempts that were sent to a target. Attempts at nodes that were not
-    // reached come in addition, up to a bound.
+    // The route's limit counts attempts that were sent to a target. Attempts at nodes that were not
+    // reached are made in addition, up to a bound.
     let declined = refused(code::ResultCode::TargetDeclined).elsewhere();
     let declined = calls::AttemptResult::Refused(declined);
-    let placements = settings::RetryTunables::default().leaving_placements as usize;
+    let free_placements = settings::RetryTunables::default().leaving_placements as usize;
     let table = [
-        (declined, 3, "the route's tries"),
+        (declined, 3, "the route's limit"),
         (
             calls::AttemptResult::NotReached,
-            3 + placements,
-            "the route's tries and free placements",
+            3 + free_placements,
+            "the route's limit and free placements",
         ),
     ];
     for (result, count, what) in table {
         let mut ingress = Ingress::new(9);
-        let mut tried = Vec::new();
+        let mut attempted = Vec::new();
         let mut effect = ingress.arrive("GET", 1);
         while let calls::CallEffect::Attempt(_, plan) = &effect {
-            tried.push((plan.offer.target.clone(), plan.offer.attempt));
+            attempted.push((plan.offer.target.clone(), plan.offer.attempt));
             effect = ingress.end(result.clone());
         }
-        assert_eq!(tried.len(), count, "{what}");
-        assert_eq!(tried[2].1, 3, "the offer carries the attempt number");
-        let targets: indexmap::IndexSet<_> = tried.iter().map(|(target, _)| target).collect();
+        assert_eq!(attempted.len(), count, "{what}");
+        assert_eq!(attempted[2].1, 3, "the offer carries the attempt number");
+        let targets: indexmap::IndexSet<_> = attempted.iter().map(|(target, _)| target).collect();
         assert_eq!(targets.len(), count, "each attempt goes to another target");
         let calls::CallEffect::Refuse(_, refusal) = effect else {
             panic!("no attempt is left: {effect:?}");
--- a/crates/engine/tests/urgency.rs
+++ b/crates/engine/tests/urgency.rs
@@ -303,7 +303,7 @@
 
 /// Returns the share of requests that are answered within 300 ms at a load of one and a half times
 /// the capacity of four targets of different speed.
-fn served_in_time(latency_ms: Option<u32>, compared: u64, placements: u64) -> f64 {
+fn served_in_time(latency_ms: Option<u32>, compared: u64, free_placements: u64) -> f64 {
     let target = |service_ms| model::ModelTarget {
         service_name: "registru",
         slots: 6,
@@ -322,7 +322,7 @@
     };
     let mut model = model::CallModel::new(settings).with_ingresses(|node| {
         node.state.settings.tunables.routing.compared = compared;
-        node.state.settings.tunables.retry.free_placements = placements;
+        node.state.settings.tunables.retry.free_placements = free_placements;
     });
     // Capacity with 6 slots each: 100 + 66.7 + 66.7 + 33.3 calls a second.
     let kinds = [model::CallKind::plain("/vehicles", 400.0)];
--- a/crates/engine/tests/verdict.rs
+++ b/crates/engine/tests/verdict.rs
@@ -15,7 +15,7 @@
 /// Number of calls that it may have had in addition.
 const CALL_SLACK: f64 = 50.0;
 
-fn scene(seed: u64, fault: rollouts::VersionFault) -> rollouts::RolloutScenario {
+fn scenario(seed: u64, fault: rollouts::VersionFault) -> rollouts::RolloutScenario {
     rollouts::RolloutScenario {
         seed,
         fault,
@@ -30,7 +30,7 @@
 fn outcomes(fault: rollouts::VersionFault) -> Vec<rollouts::RolloutOutcome> {
     let play = |seed| {
         let mut judge = verdict::SequentialJudge::default();
-        rollouts::simulate(scene(seed, fault), &mut judge)
+        rollouts::simulate(scenario(seed, fault), &mut judge)
     };
     (0..SEEDS).map(play).collect()
 }
