--- a/crates/engine/src/health.rs
+++ b/crates/engine/src/health.rs
@@ -1,9 +1,9 @@
 //! Health of targets, derived from the outcomes of calls.
 //!
 //! The owner node sees every outcome of its target and reports the target's health with each
-//! answer. An ingress node ejects targets that are reported as failing and targets whose node it
+//! response. An ingress node ejects targets that are reported as failing and targets whose node it
 //! cannot connect to. Active health checks count only while there are no recent outcomes: a passing
-//! check never overrides failed answers, and a failing check never overrides successful ones.
+//! check never overrides failed calls, and a failing check never overrides successful ones.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     pub address: std::net::SocketAddr,
     /// Path of the health endpoint.
     pub path: String,
-    /// Time limit for the answer.
+    /// Time limit for the response.
     pub timeout: Duration,
 }
 
@@ -56,8 +56,9 @@
     /// Recent outcomes of runs.
     pub outcomes: OutcomeWindow,
     /// Number of consecutive failed health checks.
-    bad_probes: u32,
-    next_probe: time::MonotonicTime,
+    consecutive_failed_probes: u32,
+    /// When the next health check is due.
+    next_probe_at: time::MonotonicTime,
 }
 
 /// Health state of the own targets.
@@ -74,7 +75,7 @@
     };
     let tunables = &state.settings.tunables.health;
     if health.outcomes.is_empty(state.now, tunables) {
-        return u64::from(health.bad_probes) >= tunables.bad_probes;
+        return u64::from(health.consecutive_failed_probes) >= tunables.bad_probes;
     }
     health.outcomes.is_failing(state.now, tunables)
 }
@@ -88,8 +89,8 @@
     is_late: bool,
 ) {
     let is_success = match result {
-        // The target shed the call. Admission reduces its load for that; it says nothing about its
-        // health.
+        // The target shed the call. Admission reduces its load in response; the outcome says
+        // nothing about the target's health.
         calls::RunResult::Done { status: 503 } | calls::RunResult::Declined => return,
         calls::RunResult::Done { status } => status < 500,
         calls::RunResult::NotConnected
@@ -127,7 +128,11 @@
         return;
     }
     let health = state.health.own.entry(target).or_default();
-    health.bad_probes = if is_healthy { 0 } else { health.bad_probes + 1 };
+    health.consecutive_failed_probes = if is_healthy {
+        0
+    } else {
+        health.consecutive_failed_probes + 1
+    };
 }
 
 /// Starts the health checks that are due, and drops targets that are no longer present.
@@ -139,6 +144,7 @@
     }
 }
 
+/// Starts the health check of an own target if it is due.
 fn start_probe(
     state: &mut reducer::EngineState,
     target: ids::TargetName,
@@ -151,11 +157,11 @@
     };
     let now = state.now;
     let health = state.health.own.entry(target.clone()).or_default();
-    if now < health.next_probe {
+    if now < health.next_probe_at {
         return;
     }
     let period = Duration::from_millis(u64::from(probe_settings.period_ms));
-    health.next_probe = now + period;
+    health.next_probe_at = now + period;
     let plan = ProbePlan {
         target,
         address: record.address,
--- a/crates/engine/src/health/ejection.rs
+++ b/crates/engine/src/health/ejection.rs
@@ -1,6 +1,6 @@
 //! Temporary ejection of failing targets from selection, up to a ceiling.
 //!
-//! An ejection ends after a set time. The target then gets one call at a time, and the first answer
+//! An ejection ends after a set time. The target then gets one call at a time, and the first result
 //! decides whether it is ejected again. If more targets would be ejected than the ceiling allows,
 //! none is: the fault is then presumed to lie elsewhere, and the few remaining targets would fail
 //! under the load of all.
@@ -36,7 +36,7 @@
         self.ejected_until.is_some_and(|end| now < end)
     }
 
-    /// Returns whether an ejection has ended and no successful answer has come since.
+    /// Returns whether an ejection has ended and no call has succeeded since.
     pub fn is_on_probation(&self, now: time::MonotonicTime) -> bool {
         self.ejected_until.is_some_and(|end| now >= end)
     }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Resets the state after an answer that reports the target as healthy.
+    /// Resets the state after a response whose load report does not report the target as failing.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -33,14 +33,16 @@
 pub enum RequestStanding {
     /// No crash is attributed to it.
     Clear,
-    /// It was in flight at one crash, and runs isolated.
+    /// It was in flight at one crash, and runs isolated: its target runs no other call meanwhile.
     Suspect,
     /// It was in flight at two crashes, and is refused.
     Quarantined,
 }
 
+/// Crashes that are attributed to one request.
 #[derive(Debug, Clone)]
-struct CrashingRequest {
+struct CrashAttribution {
+    /// Number of crashes.
     crashes: u32,
     last_target: ids::TargetName,
     last_crash_at: time::MonotonicTime,
@@ -49,7 +51,8 @@
 /// Quarantine state of this process.
 #[derive(Debug, Clone, Default)]
 pub struct QuarantineState {
-    blamed: IndexMap<wire_ledger::RequestDigest, CrashingRequest>,
+    /// Requests that were in flight at a recent crash.
+    attributions: IndexMap<wire_ledger::RequestDigest, CrashAttribution>,
     /// Isolated calls of suspect requests, by the target that runs them.
     isolated: IndexMap<ids::TargetName, ids::CallId>,
 }
@@ -67,31 +70,32 @@
         }
     }
 
+    /// Attributes a crash to its request. If `max_requests` are remembered, the oldest is evicted.
     fn record_crash(
         &mut self,
         crash: &wire::CrashRecord,
         now: time::MonotonicTime,
         max_requests: usize,
     ) {
-        if let Some(blamed) = self.blamed.get_mut(&crash.request) {
-            let is_same_crash = blamed.last_target == crash.target
-                && now.since(blamed.last_crash_at) < SAME_CRASH_WINDOW;
+        if let Some(attribution) = self.attributions.get_mut(&crash.request) {
+            let is_same_crash = attribution.last_target == crash.target
+                && now.since(attribution.last_crash_at) < SAME_CRASH_WINDOW;
             if !is_same_crash {
-                blamed.crashes += 1;
-                blamed.last_target = crash.target.clone();
-                blamed.last_crash_at = now;
+                attribution.crashes += 1;
+                attribution.last_target = crash.target.clone();
+                attribution.last_crash_at = now;
             }
             return;
         }
-        if self.blamed.len() >= max_requests {
-            self.blamed.shift_remove_index(0);
+        if self.attributions.len() >= max_requests {
+            self.attributions.shift_remove_index(0);
         }
-        let blamed = CrashingRequest {
+        let attribution = CrashAttribution {
             crashes: 1,
             last_target: crash.target.clone(),
             last_crash_at: now,
         };
-        self.blamed.insert(crash.request, blamed);
+        self.attributions.insert(crash.request, attribution);
     }
 }
 
@@ -100,16 +104,16 @@
     state: &reducer::EngineState,
     request: Option<&wire_ledger::RequestDigest>,
 ) -> RequestStanding {
-    if state.quarantine.blamed.is_empty() {
+    if state.quarantine.attributions.is_empty() {
         return RequestStanding::Clear;
     }
-    let blamed = request.and_then(|request| state.quarantine.blamed.get(request));
-    let Some(blamed) = blamed else {
+    let attribution = request.and_then(|request| state.quarantine.attributions.get(request));
+    let Some(attribution) = attribution else {
         return RequestStanding::Clear;
     };
-    let age = state.now.since(blamed.last_crash_at);
+    let age = state.now.since(attribution.last_crash_at);
     let tunables = &state.settings.tunables.quarantine;
-    if blamed.crashes >= QUARANTINE_CRASHES && age < settings::millis(tunables.refuse_ms) {
+    if attribution.crashes >= QUARANTINE_CRASHES && age < settings::millis(tunables.refuse_ms) {
         RequestStanding::Quarantined
     } else if age < settings::millis(tunables.suspect_ms) {
         RequestStanding::Suspect
@@ -126,7 +130,7 @@
     call: ids::CallId,
     offer: &wire_calls::CallOffer,
 ) -> Option<wire_calls::CallRefusal> {
-    let try_elsewhere = || {
+    let refuse_elsewhere = || {
         let code = code::ResultCode::CapacityExceeded;
         let refusal = wire_calls::CallRefusal::not_run(code).elsewhere();
         Some(wire_calls::CallRefusal {
@@ -139,12 +143,12 @@
             let code = code::ResultCode::RequestQuarantined;
             Some(wire_calls::CallRefusal::not_run(code))
         }
-        _ if state.quarantine.runs_isolated(&offer.target) => try_elsewhere(),
+        _ if state.quarantine.runs_isolated(&offer.target) => refuse_elsewhere(),
         RequestStanding::Clear => None,
         RequestStanding::Suspect => {
             let admission = state.admission.targets.get(&offer.target);
             if admission.is_some_and(|admission| admission.running > 0) {
-                return try_elsewhere();
+                return refuse_elsewhere();
             }
             state.quarantine.isolated.insert(offer.target.clone(), call);
             None
@@ -157,8 +161,8 @@
     let now = state.now;
     let tunables = &state.settings.tunables.quarantine;
     let retention = settings::millis(tunables.refuse_ms.max(tunables.suspect_ms));
-    let blamed = &mut state.quarantine.blamed;
-    blamed.retain(|_, blamed| now.since(blamed.last_crash_at) < retention);
+    let attributions = &mut state.quarantine.attributions;
+    attributions.retain(|_, attribution| now.since(attribution.last_crash_at) < retention);
 }
 
 /// Records a crash of an own target, and sends it to every other node at once.
--- a/crates/engine/tests/health.rs
+++ b/crates/engine/tests/health.rs
@@ -1,5 +1,5 @@
-//! Tests of health decisions, including for targets whose health endpoint contradicts their
-//! answers.
+//! Tests of health decisions, including for targets whose health endpoint contradicts the outcomes
+//! of their calls.
 
 use std::time::Duration;
 
@@ -212,8 +212,8 @@
         failed
     }
 
-    /// Makes one call whose connection fails if its first target satisfies `is_gone`; returns
-    /// whether the target was reached.
+    /// Makes one call whose connection fails if its first target satisfies `is_unreachable`;
+    /// returns whether the target was reached.
     fn reach(&mut self, is_unreachable: impl Fn(&str) -> bool) -> bool {
         self.last_call += 1;
         let call = ids::CallId(self.last_call);
