--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -66,7 +66,7 @@
     RecordEvent(timeline::TimelineEvent),
 }
 
-/// Collects the effects and follow-up events of an input event.
+/// Effects and follow-up events that an input event produces.
 #[derive(Debug, Default)]
 pub struct ReducerOutput {
     /// Effects in order.
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -44,11 +44,11 @@
     },
     /// A write or sync failed. The store accepts nothing until it is given a full rewrite.
     StoreFailed,
-    /// The answer to a claimed call has arrived in full.
+    /// The response to a claimed call has arrived in full.
     Answered {
         /// The claimed call.
         call: hazeltiller_units::ids::CallId,
-        /// The answer; `None` if it is too large to be stored.
+        /// The response; `None` if it is too large to be stored.
         answer: Option<wire::StoredAnswer>,
     },
 }
@@ -65,7 +65,7 @@
 pub struct LedgerState {
     /// Claims stored by this process; `None` without the control role.
     pub acceptor: Option<acceptor::AcceptorState>,
-    /// Claims of this node, and calls that wait for another claim.
+    /// Claims of this node, and calls that wait for the outcome of another call's claim.
     pub table: ClaimTable,
 }
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// Refusal of a request before its key has been looked up. The outcome of a keyed request is
-/// reported as unknown, since an earlier request with the same key may have run.
+/// Returns the refusal of a request whose key has not been looked up yet. The outcome of a keyed
+/// request is reported as unknown, since an earlier request with the same key may have run.
 pub fn early_refusal(
     arrival: &calls::CallArrival,
     code: code::ResultCode,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Runs everything that depends on time: store retry, resends, timeouts and expiry.
+/// Advances timers: store retries, resends, timeouts and the expiry of claims.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     acceptor::tick(state, output);
     own_claim::tick(state, output);
@@ -206,13 +206,13 @@
     }
 }
 
-/// The controls, of which a claim needs a majority.
+/// Returns the peer addresses of the controls. A claim needs a majority of them.
 fn voters(state: &reducer::EngineState) -> &[SocketAddr] {
     &state.settings.control
 }
 
-/// Digest of the set of controls. A control declines claims of nodes with a different set, since
-/// their majorities need not overlap.
+/// Returns a digest of the set of controls. A control declines claims of nodes with a different
+/// set, since their majorities need not overlap.
 fn voters_digest(state: &reducer::EngineState) -> u64 {
     let mut voters: Vec<String> = voters(state).iter().map(ToString::to_string).collect();
     voters.sort_unstable();
@@ -221,7 +221,7 @@
     u64::from_le_bytes(*bytes)
 }
 
-/// Sends a message to a process. A message to this process itself takes no link.
+/// Sends a message to a process. A message to this process itself is queued as a received one.
 fn send(
     state: &reducer::EngineState,
     to: SocketAddr,
--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -170,7 +170,7 @@
 }
 
 /// Handles the loss of a link. Members are judged by their silence over time only, so that one
-/// broken link does not eject a member.
+/// broken link does not make a member unreachable.
 pub fn link_lost(_state: &mut reducer::EngineState, _address: SocketAddr) {}
 
 /// Advances timers.
--- a/crates/engine/src/replication.rs
+++ b/crates/engine/src/replication.rs
@@ -34,7 +34,8 @@
 pub use persist::{PersistBatch, RecoveredLog};
 pub use view::{GroupView, LEADER_ROLE, VoterView};
 
-/// Identifies a proposal within this process; the answer carries the same number.
+/// Number that identifies a proposal or a read within this process; its answer carries the same
+/// number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ProposalNumber(pub u64);
 
@@ -51,7 +52,7 @@
 /// A request to change the catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangeProposal {
-    /// Matches the answer to the proposal.
+    /// Number of the proposal.
     pub number: ProposalNumber,
     /// Who requests the change.
     pub author: ChangeAuthor,
@@ -73,12 +74,12 @@
     Remove(ids::InstanceName),
 }
 
-/// The next phase of a roll-out, as decided by the leader.
+/// The next phase of a rollout, as decided by the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutTransition {
-    /// The roll-out entry in its new phase.
+    /// The rollout entry in its new phase.
     pub entry: rollout::RolloutEntry,
-    /// Time since the roll-out was ordered.
+    /// Time since the rollout was ordered.
     pub elapsed: std::time::Duration,
 }
 
@@ -89,11 +90,11 @@
     Propose(Box<ChangeProposal>),
     /// An operator reads the current revision.
     ReadRevision(ProposalNumber),
-    /// The leader moves a roll-out to its next phase.
+    /// The leader moves a rollout to its next phase.
     AdvanceRollout(Box<RolloutTransition>),
     /// The administrator adds or removes a voter.
     ChangeGroup {
-        /// Matches the answer to the request.
+        /// Number of the request.
         number: ProposalNumber,
         /// The voter to add or remove.
         change: GroupChange,
@@ -130,7 +131,7 @@
         /// The faults found by validation; empty when the reason is not the content.
         faults: Vec<change::CatalogueFault>,
     },
-    /// This replica does not lead. Carries the peers address of the leader.
+    /// This replica is not the leader. Carries the peer address of the leader.
     Elsewhere(SocketAddr),
     /// The outcome is not known: the change may still be committed later.
     Unknown,
@@ -178,22 +179,26 @@
     state_machine: state_machine::StateMachine,
     commit: ids::LogPosition,
     role: ReplicaRole,
+    /// Peer address of the current leader, if known.
     leader: Option<SocketAddr>,
     leader_heard_at: Option<time::MonotonicTime>,
     /// Latest time at which a majority is known to have confirmed that this replica was up to date.
     proven_at: Option<time::MonotonicTime>,
+    /// When an election starts unless the leader is heard before.
     election_at: Option<time::MonotonicTime>,
     write_queue: persist::WriteQueue,
+    /// Replicas that introduced themselves, by peer address.
     introductions: IndexMap<SocketAddr, group::IntroducedReplica>,
+    /// When this replica last introduced itself.
     introduced_at: Option<time::MonotonicTime>,
     /// Set from a failed write until the full rewrite is synced. Meanwhile the replica sends no
     /// message and takes no proposal.
     store_failure: Option<failed_store::FailedStore>,
-    /// Roll-out orders that were in the log when the process started.
+    /// Rollout orders that were in the log when the process started.
     recovered_orders: IndexSet<ids::CatalogueVersion>,
 }
 
-/// Inputs of a step, beside the replica's own state.
+/// Inputs and output of a step, besides the replica's own state.
 struct ReplicaContext<'a> {
     now: time::MonotonicTime,
     settings: &'a settings::EngineSettings,
@@ -211,7 +216,7 @@
         settings::millis(self.tunables().election_ms)
     }
 
-    /// Whether a time lies less than one election timeout in the past.
+    /// Returns whether a time lies less than one election timeout in the past.
     fn is_recent(&self, then: time::MonotonicTime) -> bool {
         then <= self.now && self.now.since(then) < self.election_timeout()
     }
@@ -266,13 +271,13 @@
         state
     }
 
-    /// Whether a roll-out order was in the log when the process started. Its age is then unknown,
-    /// since monotonic time does not survive a restart.
+    /// Returns whether a rollout order was in the log when the process started. Its age is then
+    /// unknown, since monotonic time does not survive a restart.
     pub fn is_recovered(&self, order: ids::CatalogueVersion) -> bool {
         self.recovered_orders.contains(&order)
     }
 
-    /// The catalogue as of the last committed change.
+    /// Returns the catalogue as of the last committed change.
     pub fn committed(&self) -> &catalogue_state::CatalogueState {
         &self.state_machine.catalogue
     }
@@ -335,8 +340,8 @@
     }
 }
 
-/// Whether this process is a control that has heard from a majority of its group within an election
-/// timeout, and holds all that was committed at that time.
+/// Returns whether this process is a control that has heard from a majority of its group within an
+/// election timeout, and holds all that was committed at that time.
 pub fn is_proven_current(state: &reducer::EngineState) -> bool {
     let Some(replication) = &state.replication else {
         return false;
@@ -345,7 +350,7 @@
     replication.is_proven(state.now, period)
 }
 
-/// Runs everything that depends on time: store retry, group membership, heartbeats and elections.
+/// Advances timers: store retries, group membership, heartbeats and elections.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     run_step(state, output, |replication, context| {
         replication.tick_store_recovery(context);
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -214,8 +214,8 @@
 }
 
 /// Selects among all targets as the last resort. A target that is ejected or whose node is
-/// unreachable may still run the call. Targets whose node could not be connected to a moment ago are
-/// left out, because the call would only wait there.
+/// unreachable may still run the call. Targets whose node could not be connected to a moment ago
+/// are left out, because the call would only wait there.
 fn choose_any(state: &mut reducer::EngineState, request: &SelectionRequest) -> Option<usize> {
     for distance in distances(request) {
         let views = &state.routing.views;
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -145,13 +145,13 @@
         retention_ms = 3_600_000, 1000..=604_800_000;
         /// Maximum number of claims that a control keeps; more are declined.
         claims = 400_000, 100..=100_000_000;
-        /// Time that a node keeps the answer of a claimed request for resends, in milliseconds.
+        /// Time that a node keeps the response to a claimed request for resends, in milliseconds.
         kept_ms = 600_000, 0..=86_400_000;
-        /// Maximum number of answers that a node keeps.
+        /// Maximum number of responses that a node keeps.
         kept_answers = 10_000, 0..=10_000_000;
-        /// Maximum total size of the answers that a node keeps, in bytes.
+        /// Maximum total size of the responses that a node keeps, in bytes.
         kept_bytes = 8_388_608, 0..=1_073_741_824;
-        /// Largest answer that is kept, in bytes.
+        /// Largest response that is kept, in bytes.
         answer_bytes = 65_536, 0..=4_194_304;
     }
 
@@ -228,17 +228,17 @@
         /// Number of targets that are compared for a call. With 2, the less loaded of two random
         /// ones in the nearest data centre with free slots is selected. With more, the node's own
         /// target and this number of others are compared, half of them from other data centres, and
-        /// the one that is expected to answer first is selected. More targets give a better
+        /// the one that is expected to respond first is selected. More targets give a better
         /// selection while few nodes share them, and a worse one where sixty nodes all find the
         /// same target idle.
         compared = 2, 2..=64;
-        /// Penalty for a target in another data centre of the region when expected answer times are
-        /// compared, in percent of its run time; of two targets that would answer at about the same
-        /// time the nearer one is selected.
+        /// Penalty for a target in another data centre of the region when expected response times
+        /// are compared, in percent of its run time; of two targets that would respond at about the
+        /// same time the nearer one is selected.
         far_run_percent = 30, 0..=1000;
-        /// Penalty for each kilobyte of a request and its answer between data centres in that
-        /// comparison, in milliseconds; such traffic is costly, and a slightly earlier answer does
-        /// not justify it.
+        /// Penalty for each kilobyte of a request and its response between data centres in that
+        /// comparison, in milliseconds; such traffic is costly, and a slightly earlier response
+        /// does not justify it.
         far_kilobyte_ms = 15, 0..=1000;
     }
 
@@ -269,20 +269,20 @@
 
     /// Tunables of retries.
     RetryTunables in retry {
-        /// Retries that each successful first answer of a service adds to the budget, in percent of
-        /// one.
+        /// Retries that each successful attempt adds to the budget of its service and class, in
+        /// percent of one.
         budget_percent = 10, 0..=100;
-        /// Retries of a service that a node may make at once, before any answer has added to the
-        /// budget.
+        /// Retries of a service and class that a node may make at once, before any attempt has
+        /// added to the budget.
         budget_reserve = 3, 0..=1000;
         /// Maximum number of further offers of a call, beyond the route's attempts, after owner
         /// nodes that had no free slot for it before their target was offered it.
         free_placements = 0, 0..=16;
-        /// Further offers that each successful call of the same service and class adds to their
-        /// budget, in percent of one.
+        /// Further offers that each successful attempt adds to the budget of its service and class,
+        /// in percent of one.
         placement_percent = 20, 0..=1000;
-        /// Further offers of a service and class that a node may make at once, before any call has
-        /// added to their budget.
+        /// Further offers of a service and class that a node may make at once, before any attempt
+        /// has added to their budget.
         placement_reserve = 10, 0..=1000;
         /// Maximum number of further offers of a call after nodes that could not be reached, or
         /// that reported that they or their target are leaving, so that the stop of two neighbours
--- a/crates/engine/src/timeline.rs
+++ b/crates/engine/src/timeline.rs
@@ -27,7 +27,7 @@
     Forgotten,
 }
 
-/// The way in which an attempt or a run failed to produce an answer.
+/// The way in which an attempt or a run failed to produce a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallFailure {
@@ -41,15 +41,15 @@
     NotConnected,
     /// The target answered that it did not run the request.
     Declined,
-    /// Another target answered at the address.
+    /// Another target answered at the target's address.
     Misplaced,
     /// The response was malformed or incomplete.
     Unsound,
-    /// The target closed the connection before it answered.
+    /// The target closed the connection before the first byte of a response.
     Crashed,
-    /// The first byte of the answer did not arrive in time.
+    /// The first byte of the response did not arrive in time.
     TimedOut,
-    /// The target broke off its answer.
+    /// The target broke off its response.
     Cut,
     /// The caller disconnected.
     CallerGone,
@@ -164,7 +164,7 @@
     ParentLost {
         /// Peer address of the parent.
         parent: SocketAddr,
-        /// Reason for leaving it.
+        /// Why the parent was left.
         reason: String,
     },
     /// A link broke or could not be opened.
@@ -267,7 +267,7 @@
         node: SocketAddr,
         /// Time until the deadline, in milliseconds.
         deadline_left_ms: u32,
-        /// Longest queueing time there that is better than another target, in milliseconds.
+        /// Longest queue wait for which no other compared target is better, in milliseconds.
         patience_ms: u32,
         /// Version of the target, while its service has a rollout in progress.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -276,7 +276,7 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cohort: Option<cohort::TargetCohort>,
     },
-    /// An attempt ended without an answer.
+    /// An attempt ended without a response of the target.
     CallTryFailed {
         /// Id of the request.
         request: ids::RequestId,
@@ -287,11 +287,11 @@
         /// Time since the start of the attempt, in microseconds.
         took_us: u64,
     },
-    /// The caller gets the answer of a target.
+    /// The caller gets the response of a target.
     CallAnswered {
         /// Id of the request.
         request: ids::RequestId,
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
         /// Time since the request arrived, in microseconds.
         took_us: u64,
@@ -318,7 +318,7 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// This node declined an offered call.
+    /// This node refused an offered call.
     OfferRefused {
         /// Id of the request.
         request: ids::RequestId,
@@ -326,9 +326,9 @@
         code: code::ResultCode,
         /// Limit that caused the refusal, if one did.
         limit: Option<String>,
-        /// Number of requests running at the target.
+        /// Number of calls running at the target.
         running: Option<u32>,
-        /// Number of requests queued for the target.
+        /// Number of calls queued for the target.
         queued: Option<u32>,
         /// Number of slots of the target.
         slots: Option<u32>,
@@ -342,16 +342,16 @@
         /// Name of the target.
         target: ids::TargetName,
     },
-    /// A run ended with a complete answer.
+    /// A run ended with a complete response.
     RunDone {
         /// Id of the request.
         request: ids::RequestId,
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
         /// Time since the call was offered, in microseconds.
         took_us: u64,
     },
-    /// A run ended without a complete answer.
+    /// A run ended without a complete response.
     RunFailed {
         /// Id of the request.
         request: ids::RequestId,
@@ -382,15 +382,15 @@
     pub refused_ms: u64,
     /// Offers to targets.
     pub tries: u64,
-    /// Offers that the owner nodes declined.
+    /// Offers that the owner nodes refused.
     pub given_back: u64,
-    /// Time from these offers until this node learnt of the result.
+    /// Time from the refused offers until this node learnt of the refusal.
     pub given_back_ms: u64,
     /// Offers received.
     pub offers: u64,
-    /// Offers received that were declined.
+    /// Offers received that this node refused.
     pub declined: u64,
-    /// Time that declined offers were held on this node.
+    /// Time that refused offers were held on this node.
     pub declined_ms: u64,
     /// Successful runs within the target latency.
     pub in_time: u64,
