--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -349,7 +349,7 @@
                     };
                     context.engine.tell(event::Event::Calls(ended));
                 }
-                calls::CallEffect::ForwardAnswer(_) => {
+                calls::CallEffect::ForwardResponse(_) => {
                     let started_response =
                         started_response.expect("an attempt has returned a response");
                     if !is_claimed.load(Ordering::Relaxed) {
--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -251,7 +251,7 @@
     fn run_call(&mut self, effect: calls::CallEffect) {
         let call = match &effect {
             calls::CallEffect::Attempt(call, _)
-            | calls::CallEffect::ForwardAnswer(call)
+            | calls::CallEffect::ForwardResponse(call)
             | calls::CallEffect::Replay(call, _)
             | calls::CallEffect::Refuse(call, _)
             | calls::CallEffect::Run(call, _) => *call,
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -347,7 +347,7 @@
                     target: plan.target.clone(),
                 });
             }
-            calls::CallEffect::ForwardAnswer(call) => {
+            calls::CallEffect::ForwardResponse(call) => {
                 if let Some(open_call) = self.calls.get(call) {
                     self.count_call(open_call, "answered");
                     let call_seconds = self
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -162,7 +162,7 @@
     /// Ingress node: make an attempt.
     Attempt(ids::CallId, AttemptPlan),
     /// Ingress node: forward the response whose head arrived to the caller.
-    ForwardAnswer(ids::CallId),
+    ForwardResponse(ids::CallId),
     /// Ingress node: answer with the stored response to an earlier send of the same request.
     Replay(ids::CallId, wire_ledger::StoredAnswer),
     /// Ingress or owner node: refuse the call.
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -435,7 +435,7 @@
 }
 
 fn forward_response(call: ids::CallId, output: &mut event::ReducerOutput) {
-    let effect = calls::CallEffect::ForwardAnswer(call);
+    let effect = calls::CallEffect::ForwardResponse(call);
     output.effects.push(event::Effect::Calls(effect));
 }
 
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -299,7 +299,7 @@
             result,
             report: calls::AttemptReport::default(),
         });
-        if let calls::CallEffect::ForwardAnswer(_) = effect {
+        if let calls::CallEffect::ForwardResponse(_) = effect {
             return 503;
         }
     }
--- a/crates/testkit/src/model/run/callers.rs
+++ b/crates/testkit/src/model/run/callers.rs
@@ -91,7 +91,7 @@
         for effect in effects {
             match effect {
                 calls::CallEffect::Attempt(_, plan) => self.attempt(call, ingress, plan),
-                calls::CallEffect::ForwardAnswer(_) => {}
+                calls::CallEffect::ForwardResponse(_) => {}
                 calls::CallEffect::Refuse(_, refusal) => {
                     let room_in = Duration::from_millis(u64::from(refusal.retry_after_ms));
                     let held = self.now.since(self.calls[&call].arrived);
