--- a/crates/engine/tests/admission.rs
+++ b/crates/engine/tests/admission.rs
@@ -100,6 +100,7 @@
         self.started.iter().filter(matches_name).count() as f64
     }
 
+    /// Returns the limit named by the refusal of a call, which must not have run.
     fn limit(&self, call: ids::CallId) -> String {
         let refusal = &self.refusals[&call];
         assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
@@ -199,8 +200,8 @@
     let refusal = &owner_node.refusals[&calls[9]];
     assert!(refusal.elsewhere && refusal.retry_after_ms > 0);
     assert_eq!(refusal.load.map(|load| load.queued), Some(8));
-    let late = owner_node.node.advance(Duration::from_millis(501));
-    owner_node.record_effects(late);
+    let effects = owner_node.node.advance(Duration::from_millis(501));
+    owner_node.record_effects(effects);
     assert_eq!(owner_node.limit(calls[1]), "class counter limits.queue_ms");
     assert_eq!(
         owner_node.refusals.len(),
--- a/crates/engine/tests/expected.rs
+++ b/crates/engine/tests/expected.rs
@@ -78,6 +78,7 @@
         plan.expect("there are targets")
     }
 
+    /// Counts the targets of `count` calls that do not end.
     fn spread(&mut self, count: u32) -> IndexMap<String, u32> {
         let mut spread = IndexMap::new();
         for _ in 0..count {
@@ -162,8 +163,8 @@
 }
 
 impl Ingress {
-    /// Runs 20 calls that a near target answers with a body of `bytes`.
-    fn answer(&mut self, bytes: u64) {
+    /// Sends 20 calls to which a near target responds with a body of `bytes`.
+    fn respond(&mut self, bytes: u64) {
         for _ in 0..20 {
             self.arrive();
             let call = ids::CallId(self.last_call);
@@ -197,7 +198,7 @@
 fn large_stay_near() {
     for (bytes, expected) in [(200, "far"), (20_000, "near")] {
         let mut ingress = Ingress::new(&[("near", "brasov-a", 100), ("far", "sibiu-a", 100)]);
-        ingress.answer(bytes);
+        ingress.respond(bytes);
         ingress.report("near", 2 * SLOTS - 2, 100_000);
         ingress.report("far", 0, 100_000);
         let spread = ingress.spread(1);
@@ -231,7 +232,7 @@
 }
 
 /// The old report of a target decays to the mean load of its service and not to zero, so the target
-/// that was not used for longest is not taken for idle.
+/// that was not used for longest does not seem idle.
 #[test]
 fn old_reports_decay() {
     let mut ingress = Ingress::new(&[("old", "brasov-a", 100), ("new", "brasov-a", 100)]);
--- a/crates/engine/tests/health.rs
+++ b/crates/engine/tests/health.rs
@@ -26,7 +26,7 @@
     name.parse().expect("it is a name")
 }
 
-/// The node that owns the target.
+/// The owner node of the target.
 struct Owner {
     node: node::NodeReducer,
     last_call: u64,
@@ -65,31 +65,36 @@
     let long = Duration::from_secs(6);
     let done = |status| calls::RunResult::Done { status };
     let table = [
-        ("every answer fails", short, done(500), true),
-        ("answers in part", short, calls::RunResult::Truncated, true),
-        ("never answers", short, calls::RunResult::TimedOut, true),
+        ("every response is a failure", short, done(500), true),
         (
-            "never answers, callers leave",
+            "truncates responses",
+            short,
+            calls::RunResult::Truncated,
+            true,
+        ),
+        ("never responds", short, calls::RunResult::TimedOut, true),
+        (
+            "never responds, callers disconnect",
             long,
             calls::RunResult::CallerGone,
             true,
         ),
         ("crashes", short, calls::RunResult::Crashed, true),
         (
-            "takes no connection",
+            "accepts no connection",
             short,
             calls::RunResult::NotConnected,
             true,
         ),
         (
-            "callers leave early",
+            "callers disconnect early",
             short,
             calls::RunResult::CallerGone,
             false,
         ),
-        ("refuses what is wrong", short, done(404), false),
+        ("rejects faulty requests", short, done(404), false),
         ("sheds", short, done(503), false),
-        ("answers", short, done(200), false),
+        ("responds", short, done(200), false),
     ];
     for (case, duration, result, expected) in table {
         let mut owner = Owner::new();
@@ -130,7 +135,7 @@
     owner.run(Duration::ZERO, calls::RunResult::Done { status: 200 });
     assert!(
         !owner.is_failing(),
-        "a successful answer overrides health checks"
+        "a successful call overrides health checks"
     );
     owner.node.advance(Duration::from_mins(1));
     assert!(owner.is_failing(), "the outcome has decayed");
@@ -302,8 +307,8 @@
     assert!(missed <= 6, "each is retried once a second: {missed}");
 }
 
-/// With every target behind a partition a call is refused at once, and one call a second tries the
-/// connection again.
+/// With every target behind a partition a call is refused at once, and one call a second retries
+/// the connection.
 #[test]
 fn all_cut_off() {
     let mut ingress = Ingress::new(1);
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -78,8 +78,8 @@
         queue_capacity: 40,
         is_broken: false,
     };
-    let registru = [8, 10, 10, 14].map(|unit| target("registru", unit));
-    let arhiva = [8, 10, 14].map(|unit| target("arhiva", unit));
+    let registru = [8, 10, 10, 14].map(|service_ms| target("registru", service_ms));
+    let arhiva = [8, 10, 14].map(|service_ms| target("arhiva", service_ms));
     let settings = model::ModelSettings {
         seed,
         ingresses: 7,
@@ -103,8 +103,8 @@
 }
 
 impl SurgeResult {
-    fn play(seed: u64) -> Self {
-        Self::play_on(
+    fn run(seed: u64) -> Self {
+        Self::run_surge(
             seed,
             model(seed),
             model::CallTiming::AtStart,
@@ -112,11 +112,11 @@
         )
     }
 
-    /// Plays a surge on nodes with little processor time, with runs that make their inner calls at
+    /// Runs a surge on nodes with little processor time, with runs that make their inner calls at
     /// their end, and with a longer surge and settling time.
-    fn play_on_slow_nodes(seed: u64) -> Self {
+    fn run_on_slow_nodes(seed: u64) -> Self {
         let model = model(seed).with_processors(MESSAGE_TIME);
-        Self::play_on(
+        Self::run_surge(
             seed,
             model,
             model::CallTiming::AtEnd,
@@ -124,9 +124,9 @@
         )
     }
 
-    /// Plays a surge to one and a half times the capacity for `surge`, and the return to normal
+    /// Runs a surge to one and a half times the capacity for `surge`, and the return to normal
     /// load. Calls within `settling` after the surge are not counted.
-    fn play_on(
+    fn run_surge(
         seed: u64,
         mut model: model::CallModel,
         timing: model::CallTiming,
@@ -139,7 +139,7 @@
             (kinds(1.0, timing), NORMAL_TIME),
         ];
         let mut counts = model.run_phases(phases).into_iter();
-        let mut next = || counts.next().expect("four phases were played");
+        let mut next = || counts.next().expect("four phases were run");
         let (before, surge, _settling, after) = (next(), next(), next(), next());
         let result = Self {
             seed,
@@ -157,10 +157,12 @@
         sum(|count| count.tries) as f64 / sum(|count| count.arrivals) as f64
     }
 
+    /// Returns the median time until a lookup was refused during the surge.
     fn refusal_time(&self) -> Duration {
         Duration::from_micros(self.surge[0].refusal_quantile(0.5))
     }
 
+    /// Returns the shares in time before, during and after the surge, and the waste during it.
     fn summary(&self) -> String {
         let [before, surge, after] = [&self.before, &self.surge, &self.after]
             .map(|counts| format!("{:.3} {:.3}", in_time(&counts[0]), in_time(&counts[1])));
@@ -180,7 +182,7 @@
 
 /// Surges with ample processor time, one for each seed.
 static SURGES: LazyLock<Vec<SurgeResult>> =
-    LazyLock::new(|| (1..=3).map(SurgeResult::play).collect());
+    LazyLock::new(|| (1..=3).map(SurgeResult::run).collect());
 
 /// Returns the share of requests that are answered within the target latency of lookups.
 fn in_time(count: &model::KindStats) -> f64 {
@@ -217,7 +219,7 @@
 
 /// Surges on nodes with little processor time, one for each seed.
 static SLOW_NODE_SURGES: LazyLock<Vec<SurgeResult>> =
-    LazyLock::new(|| (1..=3).map(SurgeResult::play_on_slow_nodes).collect());
+    LazyLock::new(|| (1..=3).map(SurgeResult::run_on_slow_nodes).collect());
 
 #[test]
 fn overload_not_sustained() {
--- a/crates/engine/tests/quarantine.rs
+++ b/crates/engine/tests/quarantine.rs
@@ -41,7 +41,7 @@
     })
 }
 
-fn end(node: &mut node::NodeReducer, call: u64) {
+fn end_run(node: &mut node::NodeReducer, call: u64) {
     let (call, result) = (ids::CallId(call), calls::RunResult::Done { status: 200 });
     node.call(calls::CallEvent::RunEnded { call, result });
 }
@@ -59,7 +59,7 @@
     let refusal = offer(&mut node, 11, 1).expect("the target runs another request");
     assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
     assert!(refusal.elsewhere, "another target may be free");
-    end(&mut node, 10);
+    end_run(&mut node, 10);
     assert_eq!(
         offer(&mut node, 12, 1),
         None,
@@ -67,7 +67,7 @@
     );
     let refusal = offer(&mut node, 13, 2).expect("the target runs an isolated request");
     assert!(refusal.elsewhere && refusal.outcome == wire::CallOutcome::NotRun);
-    end(&mut node, 12);
+    end_run(&mut node, 12);
     assert_eq!(offer(&mut node, 14, 2), None);
 }
 
@@ -81,7 +81,7 @@
         None,
         "both reports are of one crash"
     );
-    end(&mut node, 10);
+    end_run(&mut node, 10);
     record_crash(&mut node, crash(1, "third"));
     let refusal = offer(&mut node, 11, 1).expect("it crashed two targets");
     assert_eq!(refusal.code, code::ResultCode::RequestQuarantined);
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -36,7 +36,7 @@
             let targets = vec![node::target(&name, "registru", 10)];
             node.receive_record(&identity, 1, targets);
         }
-        // Ejection would remove targets from the choice.
+        // Ejection would remove targets from selection.
         node.state.settings.tunables.health.ejected_percent = 0;
         Self { node, last_call: 0 }
     }
@@ -60,6 +60,7 @@
         })
     }
 
+    /// Returns the only effect of an event.
     fn single_effect(&mut self, event: calls::CallEvent) -> calls::CallEffect {
         let mut effects = self.node.call(event);
         assert_eq!(effects.len(), 1, "{effects:?}");
@@ -276,7 +277,8 @@
     assert!(sent[HOPS - 1] * 10 < CALLS * 12, "{sent:?}");
 }
 
-/// Sends a call at one hop; returns the status that its caller receives.
+/// Sends a call at one hop and counts its attempts there in `sent`; returns the status that the
+/// caller receives.
 fn call_hop(hops: &mut [Ingress], sent: &mut [u32], depth: usize, attempt: u32) -> u16 {
     let mut effect = hops[depth].arrive("GET", attempt);
     loop {
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -54,7 +54,7 @@
     (0..count).map(target).collect()
 }
 
-fn both(old: usize, new: usize) -> Vec<table::ReadyTarget> {
+fn both_versions(old: usize, new: usize) -> Vec<table::ReadyTarget> {
     let mut all = targets("v1", old);
     all.extend(targets("v2", new));
     all
@@ -101,7 +101,7 @@
 
 #[test]
 fn canaries_loaded_fully() {
-    let mut all = both(56, 56);
+    let mut all = both_versions(56, 56);
     let share = cohort::assign(&entry(rollout::RolloutPhase::Trial), &mut all);
     let canaries = count(&all, cohort::TargetCohort::Canary);
     assert_eq!(canaries, 3);
@@ -111,7 +111,7 @@
     let old_share = 1.0 / (56.0 + 3.0);
     assert!(
         (canary_share - old_share).abs() < 1e-9,
-        "{canary_share} beside {old_share}"
+        "{canary_share} of a canary, {old_share} of an old target"
     );
 }
 
@@ -127,14 +127,14 @@
         names.sort();
         names
     };
-    let mut reversed = both(20, 20);
+    let mut reversed = both_versions(20, 20);
     reversed.reverse();
-    assert_eq!(names(both(20, 20)), names(reversed));
+    assert_eq!(names(both_versions(20, 20)), names(reversed));
 }
 
 #[test]
 fn rolled_back_unused() {
-    let mut all = both(4, 4);
+    let mut all = both_versions(4, 4);
     cohort::assign(&entry(rollout::RolloutPhase::RolledBack), &mut all);
     assert!(
         all.iter()
@@ -144,13 +144,13 @@
 
 #[test]
 fn old_unused_after_success() {
-    let mut all = both(4, 4);
+    let mut all = both_versions(4, 4);
     cohort::assign(&entry(rollout::RolloutPhase::Succeeded), &mut all);
     assert!(
         all.iter()
             .all(|target| target.version == Some(version("v2")))
     );
-    let mut unversioned = both(0, 4);
+    let mut unversioned = both_versions(0, 4);
     unversioned.extend(targets("", 2));
     cohort::assign(&entry(rollout::RolloutPhase::Succeeded), &mut unversioned);
     assert_eq!(unversioned.len(), 4, "targets without a version are old");
@@ -405,7 +405,7 @@
     let versions = ["v1", "v2", "v1"].map(version).to_vec();
     let ended = ordered.with_old_versions(versions);
     assert_eq!(ended.from, [version("v1")]);
-    let mut all = both(4, 4);
+    let mut all = both_versions(4, 4);
     cohort::assign(&ended, &mut all);
     assert!(
         all.iter()
--- a/crates/engine/tests/throttle.rs
+++ b/crates/engine/tests/throttle.rs
@@ -63,7 +63,7 @@
             .iter()
             .any(|effect| matches!(effect, calls::CallEffect::Attempt(..)));
         if is_offered {
-            self.end(call, has_capacity);
+            self.end_attempt(call, has_capacity);
         }
         self.node.call(calls::CallEvent::Finished(call));
         effects.into_iter().find_map(|effect| match effect {
@@ -72,7 +72,7 @@
         })
     }
 
-    fn end(&mut self, call: ids::CallId, has_capacity: bool) {
+    fn end_attempt(&mut self, call: ids::CallId, has_capacity: bool) {
         let refusal = wire::CallRefusal {
             retry_after_ms: RETRY_DELAY_MS,
             ..wire::CallRefusal::not_run(self.code).elsewhere()
@@ -153,7 +153,8 @@
     assert_eq!(refusals.count(), 0, "each call is offered");
 }
 
-/// The throttle of a busy route remains after many other routes were seen.
+/// A route that becomes busy after many other routes were seen is throttled: a full table evicts
+/// its oldest throttle, not the new one.
 #[test]
 fn busy_route_remembered() {
     let mut table = calls::throttle::ThrottleTable::default();
--- a/crates/engine/tests/urgency.rs
+++ b/crates/engine/tests/urgency.rs
@@ -33,6 +33,7 @@
     ])
 }
 
+/// An owner node with one target.
 struct OwnerNode {
     node: node::NodeReducer,
     last_call: u64,
@@ -60,10 +61,12 @@
         owner_node
     }
 
+    /// Offers a call; returns its id, and the refusal if it is refused without delay.
     fn offer(&mut self, class: &str, patience_ms: u32) -> (ids::CallId, Option<wire::CallRefusal>) {
         self.offer_within(class, patience_ms, 300)
     }
 
+    /// Offers a call with a given rest of its target latency.
     fn offer_within(
         &mut self,
         class: &str,
@@ -94,11 +97,11 @@
     let mut owner_node = OwnerNode::full();
     // Each queued call adds 50 ms of wait. Within the target latency of 300 ms, a run of 100 ms
     // leaves 200 ms of wait.
-    let answers: Vec<Option<wire::CallRefusal>> =
+    let refusals: Vec<Option<wire::CallRefusal>> =
         (0..6).map(|_| owner_node.offer("common", 5000).1).collect();
-    let taken = answers.iter().filter(|answer| answer.is_none()).count();
-    assert_eq!(taken, 4, "{answers:?}");
-    let refusal = answers[4].as_ref().expect("the fifth call would be late");
+    let admitted = refusals.iter().filter(|refusal| refusal.is_none()).count();
+    assert_eq!(admitted, 4, "{refusals:?}");
+    let refusal = refusals[4].as_ref().expect("the fifth call would be late");
     assert_eq!(refusal.code, code::ResultCode::LatencyUnreachable);
     assert_eq!(refusal.outcome, wire::CallOutcome::NotRun);
     assert!(refusal.elsewhere);
@@ -111,11 +114,11 @@
 #[test]
 fn urgent_kept() {
     let mut owner_node = OwnerNode::full();
-    let taken = (0..12)
+    let admitted = (0..12)
         .filter(|_| owner_node.offer("urgent", 5000).1.is_none())
         .count();
     assert_eq!(
-        taken, 12,
+        admitted, 12,
         "a higher-priority class waits until its deadline"
     );
     let (_, refusal) = owner_node.offer("common", 5000);
@@ -158,10 +161,10 @@
     (200..202).for_each(|call| drop(offer(&mut node, call, "scan")));
     let is_refused =
         |effects: &Vec<calls::CallEffect>| matches!(effects[..], [calls::CallEffect::Refuse(..)]);
-    let answers: Vec<_> = (300..320)
+    let effects: Vec<_> = (300..320)
         .map(|call| offer(&mut node, call, "scan"))
         .collect();
-    let refused = answers.iter().filter(|effects| is_refused(effects)).count();
+    let refused = effects.iter().filter(|effects| is_refused(effects)).count();
     assert!(
         refused >= 17,
         "two slots start only two calls within a second: {refused}"
--- a/crates/engine/tests/verdict.rs
+++ b/crates/engine/tests/verdict.rs
@@ -7,12 +7,13 @@
 use hazeltiller_engine::rollout::verdict;
 use hazeltiller_testkit::rollouts;
 
+/// Number of rollouts that are simulated for each fault.
 const SEEDS: u64 = 200;
 /// Minimum share of the rollouts that must be judged correctly.
 const MIN_CORRECT_SHARE: f64 = 0.99;
 /// Maximum share of a service's calls that a bad version may have had by the time limit.
 const MAX_CALL_SHARE: f64 = 0.1;
-/// Number of calls that it may have had in addition.
+/// Number of calls that a bad version may have had in addition.
 const CALL_SLACK: f64 = 50.0;
 
 fn scenario(seed: u64, fault: rollouts::VersionFault) -> rollouts::RolloutScenario {
@@ -27,14 +28,16 @@
     }
 }
 
+/// Simulates a rollout with this fault for each seed.
 fn outcomes(fault: rollouts::VersionFault) -> Vec<rollouts::RolloutOutcome> {
-    let play = |seed| {
+    let simulate = |seed| {
         let mut judge = verdict::SequentialJudge::default();
         rollouts::simulate(scenario(seed, fault), &mut judge)
     };
-    (0..SEEDS).map(play).collect()
+    (0..SEEDS).map(simulate).collect()
 }
 
+/// Checks that rollouts with this fault end in `phase`, and that a bad version got few calls.
 fn check(fault: rollouts::VersionFault, phase: rollout::RolloutPhase) {
     let outcomes = outcomes(fault);
     let correct = outcomes.iter().filter(|outcome| outcome.phase == phase);
@@ -48,8 +51,11 @@
     }
     for (seed, outcome) in outcomes.iter().enumerate() {
         let bound = outcome.runs as f64 * MAX_CALL_SHARE + CALL_SLACK;
-        let coming = outcome.new_version_runs as f64;
-        assert!(coming <= bound, "{fault:?}, seed {seed}: {outcome:?}");
+        let new_version_runs = outcome.new_version_runs as f64;
+        assert!(
+            new_version_runs <= bound,
+            "{fault:?}, seed {seed}: {outcome:?}"
+        );
     }
 }
 
