--- a/crates/engine/tests/expected.rs
+++ b/crates/engine/tests/expected.rs
@@ -78,6 +78,7 @@
         plan.expect("there are targets")
     }
 
+    /// Counts the targets of `count` calls that do not end.
     fn spread(&mut self, count: u32) -> IndexMap<String, u32> {
         let mut spread = IndexMap::new();
         for _ in 0..count {
@@ -123,7 +124,7 @@
     assert_eq!(spread, IndexMap::from([("far".into(), 4)]));
 }
 
-/// A node without a free slot declines the offer; this uses up neither an attempt of the route nor
+/// A node without a free slot refuses the offer; this uses up neither an attempt of the route nor
 /// retry budget.
 #[test]
 fn next_place_free() {
@@ -131,7 +132,7 @@
     let mut ingress = Ingress::new(&names.map(|name| (name, "brasov-a", 100)));
     let mut plan = ingress.arrive();
     let call = ids::CallId(ingress.last_call);
-    let mut tried = vec![plan.offer.target.to_string()];
+    let mut attempted = vec![plan.offer.target.to_string()];
     for _ in 0..2 {
         assert!(
             plan.offer.patience_ms < 1000,
@@ -153,17 +154,17 @@
                 _ => None,
             })
             .expect("there is another target");
-        tried.push(plan.offer.target.to_string());
+        attempted.push(plan.offer.target.to_string());
     }
-    tried.sort();
-    assert_eq!(tried, ["one", "three", "two"]);
+    attempted.sort();
+    assert_eq!(attempted, ["one", "three", "two"]);
     assert_eq!(plan.offer.patience_ms, u32::MAX, "there is no other target");
     ingress.node.advance(Duration::from_millis(20));
 }
 
 impl Ingress {
-    /// Runs 20 calls that a near target answers with a body of `bytes`.
-    fn answer(&mut self, bytes: u64) {
+    /// Sends 20 calls to which a near target responds with a body of `bytes`.
+    fn respond(&mut self, bytes: u64) {
         for _ in 0..20 {
             self.arrive();
             let call = ids::CallId(self.last_call);
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Declines one offer after the given time.
-    fn decline_after(&mut self, took: Duration) {
+    /// Refuses one offer after the given time.
+    fn refuse_after(&mut self, took: Duration) {
         self.arrive();
         let call = ids::CallId(self.last_call);
         self.node.advance(took);
@@ -191,13 +192,13 @@
     }
 }
 
-/// Traffic between data centres is costly: where the near target is 60 ms slower, a small answer
+/// Traffic between data centres is costly: where the near target is 60 ms slower, a small response
 /// comes from the other data centre and one of 20 kilobytes does not.
 #[test]
 fn large_stay_near() {
     for (bytes, expected) in [(200, "far"), (20_000, "near")] {
         let mut ingress = Ingress::new(&[("near", "brasov-a", 100), ("far", "sibiu-a", 100)]);
-        ingress.answer(bytes);
+        ingress.respond(bytes);
         ingress.report("near", 2 * SLOTS - 2, 100_000);
         ingress.report("far", 0, 100_000);
         let spread = ingress.spread(1);
@@ -206,7 +207,7 @@
 }
 
 /// A node that measures a high cost of offers makes fewer of them: it prefers its own target, and
-/// offers a call elsewhere only if that saves more queueing time than an offer costs.
+/// offers a call elsewhere only if that saves more queue wait than an offer costs.
 #[test]
 fn costly_offers() {
     let mut ingress = Ingress::new(&[("other", "brasov-a", 100)]);
@@ -222,7 +223,7 @@
     let mut cheap = Ingress::new(&[("one", "brasov-a", 100), ("two", "brasov-a", 100)]);
     let before = cheap.arrive().offer.patience_ms;
     for _ in 0..60 {
-        cheap.decline_after(Duration::from_millis(80));
+        cheap.refuse_after(Duration::from_millis(80));
     }
     cheap.report("one", 0, 100_000);
     cheap.report("two", 0, 100_000);
@@ -231,7 +232,7 @@
 }
 
 /// The old report of a target decays to the mean load of its service and not to zero, so the target
-/// that was not used for longest is not taken for idle.
+/// that was not used for longest does not seem idle.
 #[test]
 fn old_reports_decay() {
     let mut ingress = Ingress::new(&[("old", "brasov-a", 100), ("new", "brasov-a", 100)]);
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: only if harmless, within their budget, and without multiplying over hops.
+//! Tests of retries: only if harmless, within their budget, and without multiplying over hops.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
             let targets = vec![node::target(&name, "registru", 10)];
             node.receive_record(&identity, 1, targets);
         }
-        // Ejection would remove targets from the choice.
+        // Ejection would remove targets from selection.
         node.state.settings.tunables.health.ejected_percent = 0;
         Self { node, last_call: 0 }
     }
@@ -60,6 +60,7 @@
         })
     }
 
+    /// Returns the only effect of an event.
     fn single_effect(&mut self, event: calls::CallEvent) -> calls::CallEffect {
         let mut effects = self.node.call(event);
         assert_eq!(effects.len(), 1, "{effects:?}");
@@ -141,30 +142,30 @@
 
 #[test]
 fn other_target_each_try() {
-    // The route's tries count attempts that were sent to a target. Attempts at nodes that were not
-    // reached come in addition, up to a bound.
+    // The route's limit counts attempts that were sent to a target. Attempts at nodes that were not
+    // reached are made in addition, up to a bound.
     let declined = refused(code::ResultCode::TargetDeclined).elsewhere();
     let declined = calls::AttemptResult::Refused(declined);
-    let placements = settings::RetryTunables::default().leaving_placements as usize;
+    let free_placements = settings::RetryTunables::default().leaving_placements as usize;
     let table = [
-        (declined, 3, "the route's tries"),
+        (declined, 3, "the route's limit"),
         (
             calls::AttemptResult::NotReached,
-            3 + placements,
-            "the route's tries and free placements",
+            3 + free_placements,
+            "the route's limit and free placements",
         ),
     ];
     for (result, count, what) in table {
         let mut ingress = Ingress::new(9);
-        let mut tried = Vec::new();
+        let mut attempted = Vec::new();
         let mut effect = ingress.arrive("GET", 1);
         while let calls::CallEffect::Attempt(_, plan) = &effect {
-            tried.push((plan.offer.target.clone(), plan.offer.attempt));
+            attempted.push((plan.offer.target.clone(), plan.offer.attempt));
             effect = ingress.end(result.clone());
         }
-        assert_eq!(tried.len(), count, "{what}");
-        assert_eq!(tried[2].1, 3, "the offer carries the attempt number");
-        let targets: indexmap::IndexSet<_> = tried.iter().map(|(target, _)| target).collect();
+        assert_eq!(attempted.len(), count, "{what}");
+        assert_eq!(attempted[2].1, 3, "the offer carries the attempt number");
+        let targets: indexmap::IndexSet<_> = attempted.iter().map(|(target, _)| target).collect();
         assert_eq!(targets.len(), count, "each attempt goes to another target");
         let calls::CallEffect::Refuse(_, refusal) = effect else {
             panic!("no attempt is left: {effect:?}");
@@ -276,7 +277,8 @@
     assert!(sent[HOPS - 1] * 10 < CALLS * 12, "{sent:?}");
 }
 
-/// Sends a call at one hop; returns the status that its caller receives.
+/// Sends a call at one hop and counts its attempts there in `sent`; returns the status that the
+/// caller receives.
 fn call_hop(hops: &mut [Ingress], sent: &mut [u32], depth: usize, attempt: u32) -> u16 {
     let mut effect = hops[depth].arrive("GET", attempt);
     loop {
@@ -299,7 +301,7 @@
             result,
             report: calls::AttemptReport::default(),
         });
-        if let calls::CallEffect::ForwardAnswer(_) = effect {
+        if let calls::CallEffect::ForwardResponse(_) = effect {
             return 503;
         }
     }
--- a/crates/testkit/src/model/run/callers.rs
+++ b/crates/testkit/src/model/run/callers.rs
@@ -96,7 +96,7 @@
         for effect in effects {
             match effect {
                 calls::CallEffect::Attempt(_, plan) => self.attempt(call, ingress, plan),
-                calls::CallEffect::ForwardAnswer(_) => {}
+                calls::CallEffect::ForwardResponse(_) => {}
                 calls::CallEffect::Refuse(_, refusal) => {
                     let retry_after = Duration::from_millis(u64::from(refusal.retry_after_ms));
                     let refusal_time = self.now.since(self.calls[&call].sent_at);
