--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -472,7 +472,7 @@
     );
     let refusal = wire::CallRefusal::not_run(code::ResultCode::RateExceeded)
         .elsewhere()
-        .by_limit(limit, refusal::nonzero_millis(wait));
+        .with_limit(limit, refusal::nonzero_millis(wait));
     Some(refusal::with_load(state, offer, refusal))
 }
 
--- a/crates/engine/src/admission/refusal.rs
+++ b/crates/engine/src/admission/refusal.rs
@@ -19,7 +19,7 @@
     if deadline <= state.now {
         let refusal = wire::CallRefusal::not_run(code::ResultCode::DeadlineExceeded);
         let limit = route_limit(offer, wire::LimitField::Deadline);
-        return with_load(state, offer, refusal.by_limit(limit, 0));
+        return with_load(state, offer, refusal.with_limit(limit, 0));
     }
     let latency = Duration::from_millis(u64::from(offer.latency_left_ms));
     if latency::is_bounded(state, offer) && admission::max_queue_time(state, offer) > latency {
@@ -97,7 +97,7 @@
 ) -> wire::CallRefusal {
     let refusal = wire::CallRefusal::not_run(code)
         .elsewhere()
-        .by_limit(limit, nonzero_millis(retry_delay));
+        .with_limit(limit, nonzero_millis(retry_delay));
     with_load(state, offer, refusal)
 }
 
--- a/crates/engine/src/ledger/claim_table.rs
+++ b/crates/engine/src/ledger/claim_table.rs
@@ -40,7 +40,7 @@
     /// The claim has a majority, so its call may be sent.
     Running,
     /// The call was answered. Holds the answer if it was small enough to be stored.
-    Finished(Option<wire::KeptAnswer>),
+    Finished(Option<wire::StoredAnswer>),
     /// The call may or may not have run.
     Unknown,
 }
--- a/crates/engine/tests/urgency.rs
+++ b/crates/engine/tests/urgency.rs
@@ -146,13 +146,13 @@
         node.call(calls::CallEvent::RunEnded { call, result })
     };
     for call in 0..100 {
-        let (route, took) = if call % 20 < 4 && call < 20 {
+        let (route, run_ms) = if call % 20 < 4 && call < 20 {
             ("scan", 1000)
         } else {
             ("lookup", 20)
         };
         offer(&mut node, call, route);
-        node.now = node.now + Duration::from_millis(took);
+        node.now = node.now + Duration::from_millis(run_ms);
         end(&mut node, call);
     }
     (200..202).for_each(|call| drop(offer(&mut node, call, "scan")));
@@ -187,13 +187,13 @@
         node.call(calls::CallEvent::Offered { call, offer })
     };
     for call in 0..20 {
-        let (route, took) = if call % 2 == 0 {
+        let (route, run_ms) = if call % 2 == 0 {
             ("report", 300)
         } else {
             ("lookup", 20)
         };
         offer(&mut node, call, route, 1500);
-        node.now = node.now + Duration::from_millis(took);
+        node.now = node.now + Duration::from_millis(run_ms);
         let (call, result) = (ids::CallId(call), calls::RunResult::Done { status: 200 });
         node.call(calls::CallEvent::RunEnded { call, result });
     }
@@ -265,7 +265,7 @@
     let mut owner_node = OwnerNode::full();
     let (waiting, refusal) = owner_node.offer("common", 5000);
     assert_eq!(refusal, None);
-    let effects = owner_node.node.pass(Duration::from_millis(201));
+    let effects = owner_node.node.advance(Duration::from_millis(201));
     let refused = effects
         .iter()
         .any(|effect| matches!(effect, calls::CallEffect::Refuse(call, _) if *call == waiting));
@@ -307,9 +307,9 @@
     let target = |service_ms| model::ModelTarget {
         service_name: "registru",
         slots: 6,
-        announced: 6,
-        service: Duration::from_millis(service_ms),
-        queue: 24,
+        announced_slots: 6,
+        mean_run_time: Duration::from_millis(service_ms),
+        queue_capacity: 24,
         is_broken: false,
     };
     let settings = model::ModelSettings {
@@ -318,7 +318,7 @@
         targets: [60, 90, 90, 180].map(target).to_vec(),
         entries: entries(latency_ms),
         link: Duration::from_millis(1),
-        policy: model::ChoicePolicy::Reducer,
+        policy: model::BalancingPolicy::Reducer,
     };
     let mut model = model::CallModel::new(settings).with_ingresses(|node| {
         node.state.settings.tunables.routing.compared = compared;
@@ -408,14 +408,14 @@
         now = now + Duration::from_millis(15);
         usage.record_run(Duration::from_millis(30), Duration::from_millis(100), now);
     }
-    let turnover = Duration::from_millis(40);
+    let release_interval = Duration::from_millis(40);
     assert_eq!(
-        idle_usage.reserved(6, turnover, now),
+        idle_usage.reserved(6, release_interval, now),
         0,
         "no higher-priority call ran"
     );
     assert_eq!(
-        usage.reserved(6, turnover, now),
+        usage.reserved(6, release_interval, now),
         2,
         "two slots are in use on average"
     );
@@ -427,7 +427,7 @@
     );
     let later = now + Duration::from_secs(10);
     assert_eq!(
-        usage.reserved(6, turnover, later),
+        usage.reserved(6, release_interval, later),
         0,
         "the usage has decayed"
     );
@@ -438,9 +438,9 @@
     let target = |number: u64| model::ModelTarget {
         service_name: "registru",
         slots: 6,
-        announced: 6,
-        service: Duration::from_millis(60 + 40 * (number % 4)),
-        queue: 24,
+        announced_slots: 6,
+        mean_run_time: Duration::from_millis(60 + 40 * (number % 4)),
+        queue_capacity: 24,
         is_broken: false,
     };
     let settings = model::ModelSettings {
@@ -449,7 +449,7 @@
         targets: (0..30).map(target).collect(),
         entries: entries(Some(300)),
         link: Duration::from_millis(1),
-        policy: model::ChoicePolicy::Reducer,
+        policy: model::BalancingPolicy::Reducer,
     };
     let mut model = model::CallModel::new(settings).with_ingresses(|node| {
         node.state.settings.tunables.routing.compared = compared;
--- a/src/changes.rs
+++ b/src/changes.rs
@@ -234,7 +234,7 @@
         _ => session::EXIT_REFUSED,
     };
     let advice = match document.code {
-        code::ResultCode::VersionClash => format!("the current version is {}", document.version),
+        code::ResultCode::VersionConflict => format!("the current version is {}", document.version),
         _ => String::new(),
     };
     add_resend_advice(
--- a/src/commands/rollout.rs
+++ b/src/commands/rollout.rs
@@ -223,6 +223,6 @@
 
 fn rolled_back_error(document: &Value) -> session::CommandError {
     let reason = document["reason"].as_str().unwrap_or_default();
-    let code = code::ResultCode::RolloutTakenBack;
+    let code = code::ResultCode::RolloutRolledBack;
     session::CommandError::new(code, reason.into(), session::EXIT_REFUSED)
 }
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -48,7 +48,7 @@
     let mut rest = Vec::new();
     let closing = stream.read_to_end(&mut rest);
     // An error is a reset, which closes it too.
-    let closed = tokio::time::timeout(wait::LONGEST_WAIT, closing).await;
+    let closed = tokio::time::timeout(wait::WAIT_TIMEOUT, closing).await;
     closed.is_ok()
 }
 
@@ -98,7 +98,9 @@
         .expect("the key is right");
     let oversized = u32::MAX.to_le_bytes().to_vec();
     let garbage = [&4_u32.to_le_bytes()[..], &[0, 0xff, 0xff, 0xff]].concat();
-    let large_greeting = (wire::LARGEST_GREETING as u32 + 1).to_le_bytes().to_vec();
+    let large_greeting = (wire::MAX_HANDSHAKE_FRAME_BYTES as u32 + 1)
+        .to_le_bytes()
+        .to_vec();
     // What is sent, and whether the greeting comes first; the last is a byte and then silence.
     let table = [
         (oversized.clone(), true),
@@ -130,7 +132,7 @@
     assert!(status.is_some(), "the process goes on");
     let request = Request::get("/metrics").body(Full::default());
     let request = request.expect("the path is a URI");
-    let metrics = fleet.ask("control-1", "operators", request).await;
+    let metrics = fleet.send_request("control-1", "operators", request).await;
     let metrics = metrics.expect("it runs").into_body();
     let text = String::from_utf8_lossy(&metrics).into_owned();
     // Five that cannot be read, and one that said too little for too long.
