--- a/crates/daemon/src/byte_counts.rs
+++ b/crates/daemon/src/byte_counts.rs
@@ -1,4 +1,4 @@
-//! Counts of the bytes exchanged with other processes, by link and reason.
+//! Counts of the bytes exchanged with other processes, by link and traffic category.
 //!
 //! The counts cover whole frames, without the overhead of the transport. A frame counts as sent
 //! once it is queued on its link, even if the link breaks before it is delivered.
@@ -16,7 +16,7 @@
 /// bytes are merged into a common remainder.
 const MAX_COUNTED_LINKS: usize = 256;
 
-/// Frames and bytes of one reason.
+/// Frames and bytes of one traffic category.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct ByteCount {
     /// Number of frames.
@@ -32,13 +32,14 @@
     }
 }
 
-type ReasonCounts = IndexMap<&'static str, ByteCount>;
+type CategoryCounts = IndexMap<&'static str, ByteCount>;
 
 #[derive(Debug, Default)]
 struct CountTable {
-    sent: IndexMap<SocketAddr, ReasonCounts>,
-    sent_remainder: ReasonCounts,
-    received: ReasonCounts,
+    sent: IndexMap<SocketAddr, CategoryCounts>,
+    /// Counts of links that no longer have counts of their own.
+    sent_remainder: CategoryCounts,
+    received: CategoryCounts,
 }
 
 /// The counts of a process, shared by its links and listeners.
@@ -47,18 +48,18 @@
     table: Arc<Mutex<CountTable>>,
 }
 
-/// Totals by reason.
+/// Totals over all links, by traffic category.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct ByteSummary {
-    /// Frames sent.
+    /// Counts of the frames sent.
     pub sent: IndexMap<&'static str, ByteCount>,
-    /// Frames received.
+    /// Counts of the frames received.
     pub received: IndexMap<&'static str, ByteCount>,
 }
 
 impl ByteCounts {
-    /// Counts a frame that is sent.
-    pub fn sent(&self, to: SocketAddr, reason: message::TrafficCategory, size: usize) {
+    /// Counts a frame that has been queued on a link.
+    pub fn count_sent(&self, to: SocketAddr, category: message::TrafficCategory, size: usize) {
         let mut table = self
             .table
             .lock()
@@ -68,22 +69,22 @@
         }
         let counts = table.sent.entry(to).or_default();
         counts
-            .entry(reason.as_str())
+            .entry(category.as_str())
             .or_default()
             .add(1, size as u64);
     }
 
     /// Counts a frame that has been received.
-    pub fn received(&self, reason: message::TrafficCategory, size: usize) {
+    pub fn count_received(&self, category: message::TrafficCategory, size: usize) {
         let mut table = self
             .table
             .lock()
             .expect("no thread panics while it holds the lock");
-        let count = table.received.entry(reason.as_str()).or_default();
+        let count = table.received.entry(category.as_str()).or_default();
         count.add(1, size as u64);
     }
 
-    /// Returns the totals by reason.
+    /// Returns the totals over all links, by traffic category.
     pub fn summary(&self) -> ByteSummary {
         let table = self
             .table
@@ -97,7 +98,7 @@
         ByteSummary { sent, received }
     }
 
-    /// Returns the counts of frames sent on each link, by reason.
+    /// Returns the counts of frames sent on each link, by traffic category.
     pub fn links(&self) -> Vec<(SocketAddr, IndexMap<&'static str, ByteCount>)> {
         let table = self
             .table
@@ -108,8 +109,9 @@
     }
 }
 
+/// Merges the counts of the link with the fewest bytes into the remainder.
 fn evict_smallest(table: &mut CountTable) {
-    let total = |counts: &ReasonCounts| counts.values().map(|count| count.bytes).sum::<u64>();
+    let total = |counts: &CategoryCounts| counts.values().map(|count| count.bytes).sum::<u64>();
     let smallest = table.sent.iter().min_by_key(|(_, counts)| total(counts));
     let Some(address) = smallest.map(|(address, _)| *address) else {
         return;
@@ -119,9 +121,9 @@
     }
 }
 
-fn merge(sum: &mut ReasonCounts, counts: &ReasonCounts) {
-    for (reason, count) in counts {
-        sum.entry(*reason)
+fn merge(sum: &mut CategoryCounts, counts: &CategoryCounts) {
+    for (category, count) in counts {
+        sum.entry(*category)
             .or_default()
             .add(count.frames, count.bytes);
     }
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,5 +1,5 @@
-//! The callers listener: accepts requests, offers each to the node that hosts the chosen target,
-//! and passes the response on.
+//! The callers listener: accepts requests, offers each to the owner node of the chosen target, and
+//! passes the response on. The owner node of a target is the one that it announces itself to.
 
 use std::{
     convert::Infallible,
@@ -214,6 +214,8 @@
     head::set_host_header(&mut parts);
     http::strip_hop_by_hop_headers(&mut parts.headers);
     http::strip_internal_headers(&mut parts.headers);
+    // The dialect may carry the request id in a header of its own, which is kept. Otherwise the id
+    // goes into the internal header.
     let stripped_head = context.dialects.calls.read_head(&parts.headers);
     if stripped_head.map_or(true, |head| head.request.as_ref() != Some(&id)) {
         trace::set_request_id(&mut parts.headers, &id);
@@ -224,7 +226,7 @@
         replay::BodySource::new(limit_body_size(body, max_body_bytes), replay_limit as usize);
     let read = match length {
         Some(length) if length <= replay_limit => source.buffer_all().await,
-        None if is_chunked => source.buffer_first_frame().await,
+        None if is_chunked => source.buffer_next_frame().await,
         _ => Ok(()),
     };
     read.map_err(|_broken| {
@@ -319,7 +321,7 @@
         };
         let mut started_response = None;
         let mut may_have_run = false;
-        let sent_bytes = self.source.buffered_bytes();
+        let request_bytes = self.source.buffered_bytes();
         while let Some(effect) = effects.recv().await {
             match effect {
                 calls::CallEffect::Attempt(_, plan) => {
@@ -332,7 +334,7 @@
                     if attempt.is_err() && self.source.has_failed() {
                         return Err(request_body_error(&self.source));
                     }
-                    report.bytes += sent_bytes;
+                    report.bytes += request_bytes;
                     let result = match attempt {
                         Ok(response) => {
                             let status = response.status().as_u16();
--- a/crates/daemon/src/callers/attempt.rs
+++ b/crates/daemon/src/callers/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call: run at a local target, or offered to the node that hosts the target.
+//! One attempt of a call: run at a local target, or offered to the owner node of the target.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/daemon/src/callers/stored_response.rs
+++ b/crates/daemon/src/callers/stored_response.rs
@@ -23,14 +23,15 @@
     Truncated,
 }
 
-/// Reads a response, passes it to the ledger if it can be stored, and returns it.
+/// Reports a claimed request to the ledger as answered, with its response if that can be stored,
+/// and returns the response. Returns a refusal instead of a truncated response.
 pub async fn store(
     context: &Arc<process::ProcessContext>,
     call: ids::CallId,
     response: Response<http::StreamBody>,
 ) -> Response<http::StreamBody> {
     let (parts, body) = response.into_parts();
-    let max_bytes = context.max_kept_answer_bytes as usize;
+    let max_bytes = context.max_stored_response_bytes as usize;
     let (stored, body) = match read(body, max_bytes).await {
         BufferedBody::Complete(bytes, None) => {
             let headers = parts.headers.iter();
@@ -43,6 +44,7 @@
             };
             (Some(stored), http::full_body(bytes))
         }
+        // A stored response has no trailers, so that this one cannot be stored.
         BufferedBody::Complete(bytes, Some(trailers)) => {
             let frames = [Frame::data(bytes), Frame::trailers(trailers)];
             let frames = frames.map(Ok::<_, http::BodyError>);
--- a/crates/daemon/src/dialect.rs
+++ b/crates/daemon/src/dialect.rs
@@ -60,7 +60,7 @@
     Declined,
     /// Another target listens at the address, and did not run the request.
     WrongTarget,
-    /// It cannot be proven to be a response to this request, or a success.
+    /// It cannot be proven to be an authentic and unmodified response to this request.
     Invalid,
 }
 
@@ -130,9 +130,9 @@
     Read,
     /// Replaces the whole catalogue.
     Replace(Box<change::ChangeRequest>),
-    /// Starts a roll-out of a service to another version.
+    /// Starts a rollout of a service to another version.
     StartRollout(rollout::RolloutOrder),
-    /// Reads the latest roll-out of a service.
+    /// Reads the latest rollout of a service.
     ReadRollout(ids::EntryName),
 }
 
@@ -145,11 +145,11 @@
     Revision(change::CatalogueRevision),
     /// There is no revision yet.
     NoRevision,
-    /// The roll-out was accepted.
+    /// The rollout was accepted.
     RolloutOrdered,
-    /// The latest roll-out of a service.
+    /// The latest rollout of a service.
     Rollout(Box<rollout::RolloutEntry>),
-    /// The service has had no roll-out.
+    /// The service has had no rollout.
     NoRollout,
     /// The request was rejected.
     Refused {
@@ -177,8 +177,8 @@
         body: &Bytes,
     ) -> Result<OperatorRequest, RequestError>;
 
-    /// Returns the response to a request.
-    fn answer(&self, path: &str, answer: &OperatorResponse) -> Response<bodies::StreamBody>;
+    /// Encodes the response to a request.
+    fn answer(&self, path: &str, response: &OperatorResponse) -> Response<bodies::StreamBody>;
 
     /// Returns the response to a request that cannot be decoded.
     fn refuse(&self, rejection: &RequestError) -> Response<bodies::StreamBody>;
--- a/crates/daemon/src/disk_writer.rs
+++ b/crates/daemon/src/disk_writer.rs
@@ -59,8 +59,8 @@
     while let Ok(first) = batches.recv() {
         let mut group: Vec<_> = std::iter::once(first).chain(batches.try_iter()).collect();
         if last_failure.is_some() {
-            let replacing = group.iter().position(DiskBatch::replaces_all);
-            group.drain(..replacing.unwrap_or(group.len()));
+            let rewrite_index = group.iter().position(DiskBatch::replaces_all);
+            group.drain(..rewrite_index.unwrap_or(group.len()));
         }
         let Some(last) = group.last().map(DiskBatch::number) else {
             continue;
--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -90,13 +90,13 @@
     pub store: Option<store_task::StoreHandle>,
     /// Writes the claims file; absent without the control role.
     pub claims: Option<std::sync::mpsc::Sender<ledger::ClaimBatch>>,
-    /// Runs health probes of own targets.
+    /// Schedules health probes of this node's targets.
     pub probes: mpsc::UnboundedSender<health::ProbePlan>,
     /// Publishes the catalogue in force.
     pub in_force: watch::Sender<Arc<catalogue_state::CatalogueState>>,
     /// Timestamps outgoing messages.
     pub clock: timeline::HybridClock,
-    /// Derives the time line and metrics from events and effects.
+    /// Derives the timeline and metrics from events and effects.
     pub observer: observer::EngineObserver,
 }
 
--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -130,16 +130,16 @@
 /// Sets the byte counters from the counts of the links and listeners.
 pub fn update_byte_counters(counts: &byte_counts::ByteCounts, metrics: &metrics::ProcessMetrics) {
     metrics.sent_bytes.reset();
-    for (peer, reasons) in counts.links() {
+    for (peer, categories) in counts.links() {
         let peer = peer.to_string();
-        for (reason, count) in reasons {
-            let counter = metrics.sent_bytes.with_label_values(&[&peer, reason]);
+        for (category, count) in categories {
+            let counter = metrics.sent_bytes.with_label_values(&[&peer, category]);
             counter.inc_by(count.bytes);
         }
     }
     metrics.received_bytes.reset();
-    for (reason, count) in counts.summary().received {
-        let counter = metrics.received_bytes.with_label_values(&[reason]);
+    for (category, count) in counts.summary().received {
+        let counter = metrics.received_bytes.with_label_values(&[category]);
         counter.inc_by(count.bytes);
     }
 }
--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -13,7 +13,8 @@
     time,
 };
 
-/// Longest time for the whole handshake; it also stops peers that send byte by byte.
+/// Maximum duration of the whole handshake. Bounds the time that a peer can hold a connection by
+/// sending one byte at a time.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Error in the handshake or on the connection after it.
@@ -142,8 +143,8 @@
             proof: prove(wire::LinkSide::Responder),
         };
         write_frame(stream, &challenge).await?;
-        let answer: wire::LinkProof = read_frame(stream).await?;
-        if !wire::GroupKey::verify_proof(&prove(wire::LinkSide::Initiator), &answer.proof) {
+        let reply: wire::LinkProof = read_frame(stream).await?;
+        if !wire::GroupKey::verify_proof(&prove(wire::LinkSide::Initiator), &reply.proof) {
             return Err(HandshakeError::ProofMismatch);
         }
         Ok((hello.identity, hello.purpose))
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode, header};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Error of a body that ended early.
+/// Error while a body is read, for instance because its sender disconnected.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Body of a request or response that is passed on.
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -1,7 +1,7 @@
 //! Outgoing message connections ("links") to other processes, one for each peers address.
 //!
 //! A link is opened for its first message. It preserves the order of messages, but the last ones
-//! can be lost when it breaks. The reducer is notified of that and requests again what it is
+//! can be lost when it breaks. The reducer is notified of the loss and requests again what it is
 //! missing. When the queue of a link is full, further messages are dropped, so that the reducer
 //! never blocks.
 
@@ -26,7 +26,7 @@
 
 /// Capacity of the send queue of a link, in messages.
 const QUEUE_CAPACITY: usize = 512;
-/// Longest time to connect: allows for two round trips between distant regions, and a
+/// Maximum time to connect. Allows for two round trips between distant regions, and a
 /// retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delays after the first connection attempt at which further ones are started in parallel. A SYN
@@ -39,7 +39,7 @@
     Duration::from_millis(350),
     Duration::from_millis(650),
 ];
-/// Largest number of acknowledgements, of one byte each, that are read at once.
+/// Maximum number of acknowledgements, of one byte each, that are read at once.
 const ACK_BUFFER_BYTES: usize = 64;
 /// Time within which the receiver acknowledges that it has read what was sent. It detects
 /// connections that are dead without an error. Later messages use a new connection, while TCP's
@@ -82,7 +82,7 @@
     /// Queues a message for a peers address, or drops it if the queue is full.
     pub fn send(&self, to: SocketAddr, frame: &message::PeerFrame) {
         let bytes = codec::encode_frame(frame);
-        let (reason, size) = (frame.message.category(), bytes.len());
+        let (category, size) = (frame.message.category(), bytes.len());
         let mut links = self
             .links
             .lock()
@@ -98,7 +98,7 @@
                 drop(link.try_send(bytes));
             }
         }
-        self.counts.sent(to, reason, size);
+        self.counts.count_sent(to, category, size);
     }
 
     fn open(&self, to: SocketAddr) -> mpsc::Sender<Vec<u8>> {
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -23,14 +23,14 @@
 /// Capacity of the queue of lines: holds what a busy process logs in the few seconds of a reader's
 /// pause.
 const QUEUE_CAPACITY_LINES: usize = 8192;
-/// Largest single write, in bytes: the size up to which writes to a pipe are atomic. With larger
-/// writes the lines of processes that shared a pipe were interleaved, 38 of 68,000.
+/// Maximum size of a single write, in bytes: the size up to which writes to a pipe are atomic. With
+/// larger writes the lines of processes that shared a pipe were interleaved, 38 of 68,000.
 const MAX_WRITE_BYTES: usize = 4096;
-/// Largest line, in bytes. A longer one could be interleaved with others, so a line that reports
-/// its size is written instead.
+/// Maximum size of a line, in bytes. A longer one could be interleaved with others, so a line that
+/// reports its size is written instead.
 const MAX_LINE_BYTES: usize = MAX_WRITE_BYTES;
 /// Number of dropped lines after which they are reported.
-const DROP_REPORT_INTERVAL: u64 = 1000;
+const DROP_REPORT_INTERVAL_LINES: u64 = 1000;
 /// Prefix of the log targets of the project's crates. Messages of libraries are discarded.
 const LOG_TARGET_PREFIX: &str = "hazeltiller";
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// Starts the log. Later calls in the same process only set the level.
+/// Starts the log. Later calls in the same process only apply the level and the sampling.
 pub fn start(settings: &settings::LogSettings) -> std::io::Result<()> {
     let output: Box<dyn Write + Send> = match &settings.file {
         Some(path) => Box::new(OpenOptions::new().create(true).append(true).open(path)?),
@@ -133,12 +133,13 @@
         // This fails only if a logger is already set, which then stays in use.
         drop(log::set_logger(&MessageLogger));
     }
-    set_level(settings);
+    apply_settings(settings);
     Ok(())
 }
 
-/// Sets the least severe level that is logged, and the sampling of successful requests.
-pub fn set_level(settings: &settings::LogSettings) {
+/// Applies the settings that can change at run time: the least severe level that is logged, and the
+/// sampling of successful requests.
+pub fn apply_settings(settings: &settings::LogSettings) {
     let level = settings.level.parse().unwrap_or(log::LevelFilter::Info);
     log::set_max_level(level);
     if let Some(log) = LOG.get() {
@@ -167,7 +168,7 @@
     drop(writer.write_all(&text));
     let dropped = log.drop_counter.dropped_lines() as u64;
     let reported_drops = log.reported_drops.load(Ordering::Relaxed);
-    if dropped >= reported_drops + DROP_REPORT_INTERVAL {
+    if dropped >= reported_drops + DROP_REPORT_INTERVAL_LINES {
         log.reported_drops.store(dropped, Ordering::Relaxed);
         let line = DroppedLine {
             at_ms: time::WallTime::now().0,
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -300,13 +300,14 @@
         self.close(call, Some(TimelineEvent::RunFailed { request, failure }));
     }
 
-    /// Removes a call that has ended on this process, and logs its events.
-    fn close(&mut self, call: ids::CallId, last: Option<TimelineEvent>) {
+    /// Removes a call that has ended on this process, records its last event, if any, and logs all
+    /// its events.
+    fn close(&mut self, call: ids::CallId, last_event: Option<TimelineEvent>) {
         let Some(mut open_call) = self.calls.swap_remove(&call) else {
             return;
         };
-        let last = last.map(|event| self.timeline.record_unlogged(event));
-        open_call.records.extend(last);
+        let last_record = last_event.map(|event| self.timeline.record_unlogged(event));
+        open_call.records.extend(last_record);
         self.timeline.log_request(&open_call.records);
     }
 
--- a/crates/daemon/src/observer/usage.rs
+++ b/crates/daemon/src/observer/usage.rs
@@ -15,9 +15,9 @@
 
 /// Interval at which totals are reported.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Largest number of routes reported per interval; those with the most refusals are selected.
+/// Maximum number of routes reported per interval. Those with the most refusals are selected.
 const MAX_REPORTED_ROUTES: usize = 16;
-/// Largest number of routes with totals of their own in an interval.
+/// Maximum number of routes with totals of their own in an interval.
 const MAX_COUNTED_ROUTES: usize = 256;
 
 /// Totals of a route since the last report.
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -13,8 +13,8 @@
 
 use crate::{http, process, questions};
 
-/// Largest body of a change, in bytes: a document of the largest size, and as much for the entries
-/// that it is translated into.
+/// Maximum size of the body of a change, in bytes: a document of the maximum size, and as much for
+/// the entries that it is translated into.
 const MAX_CHANGE_BYTES: usize = 2 * hazeltiller_wire::document::MAX_DOCUMENT_BYTES;
 const BEARER_PREFIX: &str = "Bearer ";
 
@@ -108,8 +108,8 @@
     }
 }
 
-/// Returns the author of a request by its bearer token. Without a token file, requests without a
-/// token are trusted if they come from a loopback address.
+/// Returns the author of a request by its bearer token. If the settings name no token file,
+/// requests without a token are trusted if they come from a loopback address.
 pub(super) fn authenticate(
     context: &process::ProcessContext,
     from: SocketAddr,
@@ -118,9 +118,9 @@
     let bearer = headers.get(header::AUTHORIZATION);
     let bearer = bearer.and_then(|value| value.to_str().ok()?.strip_prefix(BEARER_PREFIX));
     match (bearer, context.administrator_hash) {
-        (Some(token), administrator) => {
+        (Some(token), administrator_hash) => {
             let hash = change::token_hash(token.trim());
-            if administrator == Some(hash) {
+            if administrator_hash == Some(hash) {
                 Ok(replication::ChangeAuthor::Administrator)
             } else {
                 Ok(replication::ChangeAuthor::Holder(hash))
@@ -131,7 +131,7 @@
     }
 }
 
-/// A request body that can't be read.
+/// A request body that cannot be read or decoded.
 pub(super) struct BodyError {
     status: StatusCode,
     message: String,
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -32,11 +32,11 @@
     ready: bool,
     /// Why no version is in force yet.
     waiting: Option<String>,
-    /// Parent in the distribution tree; null on a control and while there is none.
+    /// Parent in the relay tree; null on a control and while there is none.
     parent: Option<std::net::SocketAddr>,
-    /// Hops to a control in the distribution tree; 0 while there is no path.
+    /// Hops to a control in the relay tree; 0 while there is no path.
     depth: usize,
-    /// Number of children in the distribution tree.
+    /// Number of children in the relay tree.
     children: usize,
     bytes: byte_counts::ByteSummary,
     others: Vec<MemberDocument>,
--- a/crates/daemon/src/operators/revision.rs
+++ b/crates/daemon/src/operators/revision.rs
@@ -1,4 +1,4 @@
-//! Replacements of the whole configuration, linearizable reads and roll-outs, in the operator
+//! Replacements of the whole configuration, linearizable reads and rollouts, in the operator
 //! dialect of the process.
 
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use super::changes;
 use crate::{dialect, http, process, questions};
 
-/// Largest body of a request, in bytes.
+/// Maximum size of the body of a request, in bytes.
 const MAX_BODY_BYTES: usize = hazeltiller_wire::document::MAX_DOCUMENT_BYTES;
-/// Longest time that a read waits for confirmation by a majority, which answers within a few
-/// milliseconds unless there is none.
+/// Maximum time that a read waits for confirmation by a majority. If a majority is reachable, it
+/// answers within a few milliseconds.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Serves a request in the operator dialect.
--- a/crates/daemon/src/operators/rollouts.rs
+++ b/crates/daemon/src/operators/rollouts.rs
@@ -1,4 +1,4 @@
-//! Reads of roll-outs: their entries, and on the leader the evidence that decides about them.
+//! Reads of rollouts: their entries, and on the leader the evidence that decides about them.
 
 use std::net::SocketAddr;
 
@@ -18,13 +18,13 @@
     failed: u64,
 }
 
-/// The latest roll-out of a service.
+/// The latest rollout of a service.
 #[derive(Debug, Serialize)]
 struct RolloutDocument {
     service: ids::EntryName,
     #[serde(flatten)]
     entry: rollout::RolloutEntry,
-    /// Time since the roll-out was started, if this process observed the start.
+    /// Time since the rollout was started, if this process observed the start.
     elapsed_ms: Option<u64>,
     /// Counts by version since the start, as known to the leader; empty on other processes.
     versions: Vec<VersionDocument>,
@@ -32,7 +32,7 @@
     leader: Option<SocketAddr>,
 }
 
-/// The latest roll-outs of all services.
+/// The latest rollouts of all services.
 #[derive(Debug, Serialize)]
 struct RolloutList {
     rollouts: Vec<RolloutDocument>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Lists the roll-outs in the catalogue in force.
+/// Lists the rollouts in the catalogue in force.
 pub(super) async fn list(context: &process::ProcessContext) -> Response<http::StreamBody> {
     let list = context.engine.inspect(|state| {
         let entries = state.dissemination.in_force.rollouts();
@@ -78,7 +78,7 @@
     }
 }
 
-/// Returns the latest roll-out of a service.
+/// Returns the latest rollout of a service.
 pub(super) async fn get(
     context: &process::ProcessContext,
     service: &str,
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -1,4 +1,4 @@
-//! Runs calls at this node's own targets, for which it is the owner node. Offers come from other
+//! Runs calls at this node's targets, for which it is the owner node. Offers come from other
 //! nodes or from this node's callers listener.
 
 use std::{
@@ -114,8 +114,8 @@
 /// Returns the id of a request: from the internal header, else from the caller's headers, else a
 /// new one.
 fn request_id(context: &process::ProcessContext, headers: &HeaderMap) -> ids::RequestId {
-    let named = || context.dialects.calls.read_head(headers).ok()?.request;
-    let id = trace::request_id(headers).or_else(named);
+    let dialect_id = || context.dialects.calls.read_head(headers).ok()?.request;
+    let id = trace::request_id(headers).or_else(dialect_id);
     id.unwrap_or_else(|| context.request_ids.new_id())
 }
 
@@ -209,17 +209,17 @@
         {
             dialect::ResponseVerdict::Valid => {}
             dialect::ResponseVerdict::Declined => {
-                drain_and_keep(context, self.plan.address, body, sender);
+                drain_and_reuse(context, self.plan.address, body, sender);
                 let declined = not_run(code::ResultCode::TargetDeclined);
                 return self.refuse(calls::RunResult::Declined, declined);
             }
             dialect::ResponseVerdict::WrongTarget => {
-                let misplaced = not_run(code::ResultCode::WrongTarget);
-                return self.refuse(calls::RunResult::WrongTarget, misplaced);
+                let wrong_target = not_run(code::ResultCode::WrongTarget);
+                return self.refuse(calls::RunResult::WrongTarget, wrong_target);
             }
             dialect::ResponseVerdict::Invalid => {
-                let unsound = wire::CallRefusal::unknown(code::ResultCode::MalformedAnswer);
-                return self.refuse(calls::RunResult::Invalid, unsound);
+                let malformed = wire::CallRefusal::unknown(code::ResultCode::MalformedAnswer);
+                return self.refuse(calls::RunResult::Invalid, malformed);
             }
         }
         let max_bytes = context.request_tunables.answer_hold_bytes;
@@ -261,7 +261,7 @@
 }
 
 /// Reads the rest of a declined response, then returns its connection to the pool.
-fn drain_and_keep(
+fn drain_and_reuse(
     context: Arc<process::ProcessContext>,
     address: std::net::SocketAddr,
     body: Incoming,
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -86,7 +86,9 @@
         reader.read_exact(&mut body).await.map_err(io_error)?;
         let frame: message::PeerFrame = codec::decode_body(&body).map_err(decode_error)?;
         let bytes = size + codec::LENGTH_PREFIX_BYTES;
-        context.bytes.received(frame.message.category(), bytes);
+        context
+            .bytes
+            .count_received(frame.message.category(), bytes);
         context.clock.merge(frame.clock);
         let event = event::Event::Received {
             from: from.clone(),
--- a/crates/daemon/src/pool.rs
+++ b/crates/daemon/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connection pools: HTTP/2 to other nodes, HTTP/1.1 to this node's own targets.
+//! Connection pools: HTTP/2 to other nodes, HTTP/1.1 to this node's targets.
 
 use snafu::Snafu;
 
--- a/crates/daemon/src/pool/targets.rs
+++ b/crates/daemon/src/pool/targets.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 connections to this node's own targets; each carries one request at a time.
+//! HTTP/1.1 connections to this node's targets; each carries one request at a time.
 
 use std::{net::SocketAddr, sync::Mutex, time::Duration};
 
@@ -17,7 +17,7 @@
 
 type TargetSender = http1::SendRequest<http::StreamBody>;
 
-/// The pool of idle connections to own targets.
+/// The pool of idle connections to this node's targets.
 #[derive(Debug, Default)]
 pub struct TargetPool {
     idle: Mutex<IndexMap<SocketAddr, Vec<TargetSender>>>,
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -1,4 +1,4 @@
-//! Sends the HTTP health probes of own targets that the engine has scheduled.
+//! Sends the HTTP health probes of this node's targets that the engine has scheduled.
 //!
 //! Each probe opens a new connection, so that it fails if the target no longer accepts any.
 
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -58,13 +58,13 @@
         "{}: the control role requires data_folder",
         code::ResultCode::StoreMissing
     ))]
-    NoFolder,
+    DataFolderMissing,
     /// Bootstrap was requested, but the data folder already holds state.
     #[snafu(display(
         "{}: bootstrap requires an empty data_folder",
         code::ResultCode::StoreNotEmpty
     ))]
-    StatePresent,
+    DataFolderNotEmpty,
     /// The store cannot be opened.
     #[snafu(display("{}: {source}", source.code()))]
     Store {
@@ -82,13 +82,13 @@
     pub credentials: handshake::LinkCredentials,
     /// The catalogue in force.
     pub in_force: watch::Receiver<Arc<catalogue_state::CatalogueState>>,
-    /// Bytes of peer messages, by link and reason.
+    /// Bytes of peer messages, by link and traffic category.
     pub bytes: byte_counts::ByteCounts,
     /// Connections to other nodes.
     pub nodes: pool::NodePool,
     /// Measured transit times of offers from other nodes.
     pub transit: transit::MeterTable,
-    /// Connections to own targets.
+    /// Connections to this node's targets.
     pub targets: pool::TargetPool,
     /// Protocols towards callers, targets and operators.
     pub dialects: dialect::DialectSet,
@@ -99,7 +99,7 @@
     /// Limits and timeouts of requests.
     pub request_tunables: engine_settings::RequestTunables,
     /// Maximum size of a stored response to a claimed request, in bytes.
-    pub max_kept_answer_bytes: u64,
+    pub max_stored_response_bytes: u64,
     /// Progress of the graceful shutdown.
     pub drain: drain::DrainState,
     /// Hash of the first administrator's token, if the settings name one.
@@ -241,7 +241,10 @@
 ) -> Result<Arc<ProcessContext>, StartError> {
     let mut is_new_store = false;
     let (store, recovered) = if credentials.identity.is_control {
-        let folder = settings.data_folder.as_ref().context(NoFolderSnafu)?;
+        let folder = settings
+            .data_folder
+            .as_ref()
+            .context(DataFolderMissingSnafu)?;
         let initial_state = || wire_replication::HardState {
             replica: ids::ReplicaId(rand::random_range(1..=u64::MAX)),
             is_forming: options.bootstrap || settings.bootstrap,
@@ -249,7 +252,7 @@
         };
         let opened = store_file::FileStore::open(folder, initial_state).context(StoreSnafu)?;
         let (file, recovered, existed) = opened;
-        snafu::ensure!(!options.bootstrap || !existed, StatePresentSnafu);
+        snafu::ensure!(!options.bootstrap || !existed, DataFolderNotEmptySnafu);
         is_new_store = !existed;
         let tunables = &settings.tunables.replication;
         let state = replication::ReplicationState::recover(recovered, tunables);
@@ -292,7 +295,7 @@
         incarnation: credentials.identity.incarnation,
     });
     let bytes = byte_counts::ByteCounts::default();
-    let (links, losses) = links::LinkTable::new(credentials.clone(), bytes.clone());
+    let (links, lost_links) = links::LinkTable::new(credentials.clone(), bytes.clone());
     let (store_handle, store_batches) = store_task::StoreHandle::new();
     let (claims, claim_batches) = std::sync::mpsc::channel();
     let (probes, probe_plans) = mpsc::unbounded_channel();
@@ -308,7 +311,7 @@
     let engine = engine_actor::EngineHandle::start(state, sinks);
     let guard = registry.guard(critical_tasks::CriticalTask::Reducer);
     tokio::spawn(engine.clone().hold_until_shutdown(guard));
-    tokio::spawn(links::report_lost_links(losses, engine.clone()));
+    tokio::spawn(links::report_lost_links(lost_links, engine.clone()));
     tokio::spawn(probe::run(probe_plans, engine.clone()));
     if let Some(file) = store {
         let engine = engine.clone();
@@ -346,7 +349,7 @@
         caller: settings.caller_service.clone(),
         default_lease_ms: settings.tunables.membership.lease_ms,
         request_tunables: settings.tunables.requests.clone(),
-        max_kept_answer_bytes: settings.tunables.ledger.answer_bytes,
+        max_stored_response_bytes: settings.tunables.ledger.answer_bytes,
         drain: drain::DrainState::default(),
         credentials,
         metrics,
--- a/crates/daemon/src/questions.rs
+++ b/crates/daemon/src/questions.rs
@@ -79,28 +79,26 @@
 impl LeaderRpcServer for RpcHandler {
     async fn propose(&self, change: ForwardedChange) -> RpcResult<replication::ProposalAnswer> {
         let proposal = change.into_proposal();
-        Ok(refuse_forwarding(
-            self.context.engine.propose(proposal).await,
-        ))
+        Ok(refuse_referral(self.context.engine.propose(proposal).await))
     }
 
     async fn revision(&self) -> RpcResult<replication::ProposalAnswer> {
-        Ok(refuse_forwarding(self.context.engine.read_revision().await))
+        Ok(refuse_referral(self.context.engine.read_revision().await))
     }
 
     async fn change_group(
         &self,
         change: replication::GroupChange,
     ) -> RpcResult<replication::ProposalAnswer> {
-        Ok(refuse_forwarding(
+        Ok(refuse_referral(
             self.context.engine.change_group(change).await,
         ))
     }
 }
 
-/// Replaces a referral to another leader by a refusal. Requests are forwarded only once; if the
-/// leader changes meanwhile, the operator has to retry.
-fn refuse_forwarding(answer: replication::ProposalAnswer) -> replication::ProposalAnswer {
+/// Replaces a referral to another leader by a refusal. A request is forwarded only once: if the
+/// leader has changed since it was forwarded, the operator has to retry.
+fn refuse_referral(answer: replication::ProposalAnswer) -> replication::ProposalAnswer {
     match answer {
         replication::ProposalAnswer::Elsewhere(_) => refusal(code::ResultCode::LeaderUnknown),
         answer => answer,
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -86,7 +86,7 @@
         let event = membership::MembershipEvent::ControlsChanged(contacts);
         context.engine.tell(event::Event::Membership(event));
     }
-    logging::set_level(&next.log);
+    logging::apply_settings(&next.log);
     let unchanged = settings::ProcessSettings {
         control: current.control.clone(),
         bootstrap: current.bootstrap,
--- a/crates/daemon/src/replay.rs
+++ b/crates/daemon/src/replay.rs
@@ -1,7 +1,7 @@
 //! Request bodies that are buffered so that a retry can send them again.
 //!
-//! The buffer is bounded, so that callers can't exhaust memory. A body that exceeds the bound
-//! continues to be streamed without buffering, and the request can't be retried.
+//! The buffer is bounded, so that callers cannot exhaust memory. A body that exceeds the bound
+//! continues to be streamed without buffering, and the request cannot be retried.
 
 use std::{
     pin::Pin,
@@ -30,11 +30,12 @@
     max_buffered_len: usize,
     trailers: Option<hyper::HeaderMap>,
     is_ended: bool,
-    /// Whether the buffer has overflowed, so that the body can't be sent again.
+    /// Whether the buffer has overflowed, so that the body cannot be sent again.
     is_buffer_exceeded: bool,
     has_failed: bool,
     /// Whether reading failed because the body exceeds its size limit.
     exceeds_limit: bool,
+    /// Number of attempts that have taken a body. Only the body of the latest one can be read.
     attempts: u32,
 }
 
@@ -60,15 +61,16 @@
         })))
     }
 
-    /// Reads the first frame, so that a body that is invalid from the start is never forwarded.
-    pub async fn buffer_first_frame(&self) -> Result<(), http::BodyError> {
+    /// Buffers the next frame. Called before the first attempt, so that a body that is invalid from
+    /// the start is never forwarded.
+    pub async fn buffer_next_frame(&self) -> Result<(), http::BodyError> {
         std::future::poll_fn(|cx| self.state().poll_read(cx)).await
     }
 
     /// Buffers the whole body. The caller has to check that its length is within the bound.
     pub async fn buffer_all(&self) -> Result<(), http::BodyError> {
         while !self.state().is_ended {
-            self.buffer_first_frame().await?;
+            self.buffer_next_frame().await?;
         }
         Ok(())
     }
@@ -167,6 +169,7 @@
 struct ReplayBody {
     source: BodySource,
     attempt: u32,
+    /// Index of the next buffered frame to send.
     next_index: usize,
     has_sent_trailers: bool,
 }
--- a/crates/daemon/src/settings/installation.rs
+++ b/crates/daemon/src/settings/installation.rs
@@ -23,14 +23,14 @@
 /// Time for which a stopping node goes on accepting requests: load balancers check readiness every
 /// second and take a node out of rotation after two failed checks.
 const READINESS_LAG_MS: u64 = 2500;
-/// Largest fraction of the grace period for which a stopping node goes on accepting requests.
+/// Maximum fraction of the grace period for which a stopping node goes on accepting requests.
 const MAX_LEAVE_FRACTION: f64 = 0.5;
 /// Time before the kill at which a process should have exited.
 const EXIT_MARGIN_MS: u64 = 300;
 /// Fraction of the granted retries that goes into the retry budget. The rest covers the nested
 /// calls that retried requests make in turn.
 const RETRY_BUDGET_FRACTION: f64 = 0.5;
-/// Fraction of a bad version's allowed share that the trial phase of a roll-out may use. The rest
+/// Fraction of a bad version's allowed share that the trial phase of a rollout may use. The rest
 /// covers versions that turn out bad while traffic is being shifted to them.
 const TRIAL_FRACTION: f64 = 0.6;
 const PERMILLE: f64 = 1000.0;
@@ -47,8 +47,8 @@
     pub retry_ratio: Option<f64>,
     /// Number of controls whose simultaneous loss is tolerated.
     pub lost_controls: Option<u64>,
-    /// Largest share of a service's calls that a bad version may have received by the time limit of
-    /// its roll-out.
+    /// Maximum share of a service's calls that a bad version may have received by the time limit of
+    /// its rollout.
     pub canary_share: Option<f64>,
 }
 
--- a/crates/daemon/src/trace.rs
+++ b/crates/daemon/src/trace.rs
@@ -62,7 +62,7 @@
 }
 
 /// Returns the time since the machine booted, including the time for which it was suspended. With a
-/// clock that stops during suspension, everything sent after it would seem to be late.
+/// clock that stops during suspension, everything sent after a suspension would seem to be late.
 pub fn boot_time() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
