--- a/crates/wire/src/dissemination.rs
+++ b/crates/wire/src/dissemination.rs
@@ -86,7 +86,8 @@
     Asking,
 }
 
-/// Latest version known to a process, as input to the version floor of another one.
+/// Latest version known to a process, sent in reply to [`DisseminationMessage::FloorQuestion`]. The
+/// receiver derives its version floor from the answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FloorAnswer {
     /// Latest version known.
@@ -113,8 +114,8 @@
     Snapshot(PackedCatalogue),
     /// Request for a delta or a snapshot.
     Pull(VersionPull),
-    /// Query of a process without durable state for the version floor: the lowest version that it
-    /// may accept.
+    /// Query of a process without durable state, which needs its version floor: the lowest version
+    /// that it may accept.
     FloorQuestion,
     /// Reply to [`DisseminationMessage::FloorQuestion`].
     FloorAnswer(FloorAnswer),
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -19,11 +19,11 @@
     Ledger(ledger::LedgerMessage),
     /// Requests suspected of crashing targets.
     Quarantine(quarantine::QuarantineMessage),
-    /// Results of runs during roll-outs.
+    /// Results of runs during rollouts.
     Rollout(rollout::RolloutMessage),
 }
 
-/// Category under which control traffic is counted.
+/// Category under which messages between processes are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum TrafficCategory {
     /// Catalogue changes sent to nodes.
@@ -40,7 +40,7 @@
     Replication,
     /// Claims on requests with an idempotency key, and requests suspected of crashing targets.
     Claims,
-    /// Results of runs during roll-outs.
+    /// Results of runs during rollouts.
     Rollout,
 }
 
--- a/crates/wire/src/rollout.rs
+++ b/crates/wire/src/rollout.rs
@@ -1,6 +1,6 @@
-//! Results of runs that nodes report to the control group during a roll-out.
+//! Results of runs that nodes report to the control group during a rollout.
 //!
-//! Counts are cumulative since the start of the roll-out, so that lost or repeated messages do no
+//! Counts are cumulative since the start of the rollout, so that lost or repeated messages do no
 //! harm and a new leader has the complete counts after the next message.
 
 use hazeltiller_units::ids;
@@ -51,18 +51,19 @@
     }
 }
 
-/// Results of the runs of one target since its owner node learnt of the roll-out.
+/// Results of the runs of one target since its owner node learnt of the rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetTally {
     /// Service of the target.
     pub service: ids::EntryName,
-    /// Catalogue version that the roll-out order created, which identifies the roll-out.
+    /// Catalogue version that the rollout order created, which identifies the rollout.
     pub order: ids::CatalogueVersion,
     /// The target.
     pub target: ids::TargetName,
     /// Version of the target's software, if known.
     pub version: Option<ids::SoftwareVersion>,
-    /// Incarnation of the owner node, and the number of the message within the incarnation.
+    /// Incarnation of the owner node, and the number of the message within the incarnation. A tally
+    /// with a larger stamp replaces one with a smaller.
     pub stamp: (ids::IncarnationNumber, u64),
     /// Calls currently running or waiting at the target.
     pub in_flight: u32,
@@ -72,11 +73,11 @@
     pub routes: Vec<RouteTally>,
 }
 
-/// A message about roll-outs.
+/// A message about rollouts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutMessage {
     /// Tallies of the sender's targets, or of the targets of a node whose message is forwarded.
     pub tallies: Vec<TargetTally>,
-    /// Whether a control forwarded the message to the leader.
+    /// Whether a control has forwarded the message to the leader. It is not forwarded again.
     pub is_passed_on: bool,
 }
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -59,8 +59,8 @@
     (result, LARGEST.get())
 }
 
-/// Returns the maximum size of one allocation in bytes. A compressed frame may declare any size up
-/// to the frame limit.
+/// Returns the maximum size of one allocation in bytes. A compressed frame, whose first byte is 1,
+/// may declare any size up to the frame limit.
 fn allocation_bound(bytes: &[u8]) -> usize {
     if bytes.first() == Some(&1) {
         codec::MAX_FRAME_BYTES
