--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -32,7 +32,7 @@
     /// If present, the entries to put replace the whole catalogue and `expects` is ignored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replace: Option<ReplacementMark>,
-    /// If present, the request starts or aborts a roll-out, puts and removes nothing, and `expects`
+    /// If present, the request starts or aborts a rollout, puts and removes nothing, and `expects`
     /// is ignored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollout: Option<rollout::RolloutRequest>,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Creates a request that starts or aborts a roll-out.
+    /// Creates a request that starts or aborts a rollout.
     pub fn rollout(change_id: ids::ChangeId, request: rollout::RolloutRequest) -> Self {
         Self {
             change_id,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Creates a request that starts a roll-out. Its id is derived from its content, so that a
+    /// Creates a request that starts a rollout. Its id is derived from its content, so that a
     /// resend of the same order is recognised.
     pub fn rollout_order(order: rollout::RolloutOrder) -> Self {
         let request = rollout::RolloutRequest::Start(order);
@@ -158,7 +158,7 @@
 }
 
 fn rollout_digest(request: &rollout::RolloutRequest) -> ids::StateDigest {
-    let text = serde_json::to_vec(request).expect("a roll-out request contains no maps");
+    let text = serde_json::to_vec(request).expect("a rollout request contains no maps");
     ids::StateDigest(*blake3::hash(&text).as_bytes())
 }
 
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -173,7 +173,7 @@
     }
 }
 
-/// Cost of the requests with a given path prefix and method.
+/// Cost of the requests of a route with a given path prefix and method.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindCost {
@@ -337,7 +337,7 @@
     Route(RouteEntry),
     /// Limits of callers' connections.
     Listener(ListenerEntry),
-    /// A roll-out.
+    /// A rollout.
     Rollout(rollout::RolloutEntry),
 }
 
@@ -383,6 +383,7 @@
     }
 }
 
+/// JSON representation of an entry, tagged by `kind`.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "CatalogueEntry", tag = "kind", rename_all = "snake_case")]
 enum TaggedEntry {
@@ -394,6 +395,7 @@
     Rollout(rollout::RolloutEntry),
 }
 
+/// Representation of an entry between processes: postcard cannot decode enums tagged by a field.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "CatalogueEntry")]
 enum CompactEntry {
--- a/crates/catalogue/src/rollout.rs
+++ b/crates/catalogue/src/rollout.rs
@@ -1,7 +1,7 @@
-//! Roll-outs, which move a service's calls to targets with another software version, or roll back.
+//! Rollouts, which move a service's calls to targets with another software version, or roll back.
 //!
-//! A roll-out is a catalogue entry, so that it is as durable as the catalogue and reaches every
-//! node in the same way. Operators request a roll-out, but only the leader of the control group
+//! A rollout is a catalogue entry, so that it is as durable as the catalogue and reaches every
+//! node in the same way. Operators request a rollout, but only the leader of the control group
 //! writes the entry and moves it from phase to phase.
 
 use std::fmt;
@@ -11,12 +11,12 @@
 
 /// Share of all calls, in thousandths.
 pub const FULL_SHARE_PERMILLE: u32 = 1000;
-/// Minimum time limit of a roll-out, in milliseconds.
+/// Minimum time limit of a rollout, in milliseconds.
 pub const MIN_TIME_LIMIT_MS: u32 = 2_000;
-/// Maximum time limit of a roll-out, in milliseconds.
+/// Maximum time limit of a rollout, in milliseconds.
 pub const MAX_TIME_LIMIT_MS: u32 = 7 * 24 * 3_600_000;
 
-/// Phase of a roll-out.
+/// Phase of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutPhase {
@@ -26,14 +26,14 @@
     Widening,
     /// All calls go to the new version; the old targets must not be stopped yet.
     Switched,
-    /// The roll-out is complete; the old targets may be stopped.
+    /// The rollout is complete; the old targets may be stopped.
     Succeeded,
     /// All calls go to the old version; the new targets may be stopped.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Returns whether the roll-out is still in progress.
+    /// Returns whether the rollout is still in progress.
     pub fn is_running(self) -> bool {
         matches!(self, Self::Trial | Self::Widening | Self::Switched)
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The latest roll-out of a service.
+/// The latest rollout of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutEntry {
@@ -66,25 +66,25 @@
     pub owner: ids::EntryName,
     /// Class of the service.
     pub class: ids::EntryName,
-    /// Catalogue version that the order created. Identifies the roll-out and stays the same in all
+    /// Catalogue version that the order created. Identifies the rollout and stays the same in all
     /// of its phases.
     pub order: ids::CatalogueVersion,
     /// Software version that calls move to.
     pub to: ids::SoftwareVersion,
     /// Software versions of the old targets known to the leader at the last step.
     pub from: Vec<ids::SoftwareVersion>,
-    /// Time limit of the roll-out, counted from the order, in milliseconds.
+    /// Time limit of the rollout, counted from the order, in milliseconds.
     pub within_ms: u32,
     /// Current phase.
     pub phase: RolloutPhase,
     /// Maximum share of the calls that the new version receives in this phase, in thousandths.
     pub share_permille: u32,
-    /// Reason for which the roll-out entered this phase.
+    /// Reason for which the rollout entered this phase.
     pub reason: String,
 }
 
 impl RolloutEntry {
-    /// Returns the roll-out in another phase.
+    /// Returns the rollout in another phase.
     #[must_use]
     pub fn in_phase(&self, phase: RolloutPhase, share_permille: u32, reason: String) -> Self {
         Self {
@@ -108,13 +108,13 @@
     }
 }
 
-/// Request of an operator that concerns a roll-out.
+/// Request of an operator that concerns a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutRequest {
-    /// Starts a roll-out.
+    /// Starts a rollout.
     Start(RolloutOrder),
-    /// Aborts and rolls back the current roll-out of the service.
+    /// Aborts and rolls back the current rollout of the service.
     Abort(ids::EntryName),
 }
 
@@ -126,6 +126,6 @@
     pub service: ids::EntryName,
     /// Software version that calls move to.
     pub to: ids::SoftwareVersion,
-    /// Time limit of the roll-out, counted from the order, in milliseconds.
+    /// Time limit of the rollout, counted from the order, in milliseconds.
     pub within_ms: u32,
 }
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -135,9 +135,9 @@
         })
     }
 
-    /// Returns the latest roll-out of each service that has had one.
+    /// Returns the latest rollout of each service that has had one.
     pub fn rollouts(&self) -> impl Iterator<Item = &rollout::RolloutEntry> {
-        // Entries are ordered by key, and roll-outs are the last kind.
+        // Entries are ordered by key, and rollouts are the last kind.
         let is_before =
             |key: &entry::EntryKey, _: &entry::CatalogueEntry| key.kind < entry::EntryKind::Rollout;
         let first = self.entries.partition_point(is_before);
@@ -150,7 +150,7 @@
             })
     }
 
-    /// Returns the latest roll-out of a service.
+    /// Returns the latest rollout of a service.
     pub fn rollout(&self, service: &ids::EntryName) -> Option<&rollout::RolloutEntry> {
         match self.find(entry::EntryKind::Rollout, service) {
             Some(entry::CatalogueEntry::Rollout(entry)) => Some(entry),
@@ -167,8 +167,8 @@
         listeners.next().cloned()
     }
 
-    /// Returns the change that makes these entries the whole catalogue. Entries that are already
-    /// present are left out. The entries must have distinct keys. Roll-outs are not part of the
+    /// Returns the change that makes these entries the whole catalogue. It contains only the entries
+    /// that differ from the present ones. The entries must have distinct keys. Rollouts are not part of the
     /// operator's entries; those of services that remain are kept.
     pub fn replacing(&self, mut entries: Vec<entry::CatalogueEntry>) -> change::ChangeSet {
         let kept: Vec<entry::CatalogueEntry> = self
@@ -209,7 +209,7 @@
     }
 }
 
-/// Returns a roll-out with the owner and class of its service in a new set of entries, or `None` if
+/// Returns a rollout with the owner and class of its service in a new set of entries, or `None` if
 /// the set does not contain the service.
 fn kept_rollout(
     rollout: &rollout::RolloutEntry,
