--- a/crates/units/src/time.rs
+++ b/crates/units/src/time.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Milliseconds since the Unix epoch by the machine's clock. Only displayed; no decision depends on
-/// it.
+/// Milliseconds since the Unix epoch by the machine's clock, which can be wrong or jump. Timeouts
+/// are therefore measured by [`MonotonicTime`] only.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
