--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -31,7 +31,7 @@
     pub remove: Vec<entry::EntryKey>,
     /// If present, the entries to put replace the whole catalogue and `expects` is ignored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub replace: Option<ReplacementMark>,
+    pub replace: Option<CatalogueReplacement>,
     /// If present, the request starts or aborts a rollout, puts and removes nothing, and `expects`
     /// is ignored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -41,7 +41,7 @@
 /// Data of a change that replaces the whole catalogue by an operator's document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ReplacementMark {
+pub struct CatalogueReplacement {
     /// Label that the operator gives the new revision.
     pub label: ids::RevisionLabel,
     /// Label of the revision on which the replacement is based. The change is refused if another
@@ -63,9 +63,9 @@
 impl ChangeRequest {
     /// Creates a replacement of the whole catalogue. Its id is derived from its content, so that a
     /// resend of the same document is recognised.
-    pub fn replacing(mark: ReplacementMark, put: Vec<entry::CatalogueEntry>) -> Self {
-        let digest = mark_digest(&mark).to_string();
-        let id = format!("revision-{}-{}", mark.label, &digest[..32]);
+    pub fn replacement(replacement: CatalogueReplacement, put: Vec<entry::CatalogueEntry>) -> Self {
+        let digest = replacement_digest(&replacement).to_string();
+        let id = format!("revision-{}-{}", replacement.label, &digest[..32]);
         Self {
             change_id: id
                 .parse()
@@ -73,7 +73,7 @@
             expects: ids::CatalogueVersion::default(),
             put,
             remove: Vec::new(),
-            replace: Some(mark),
+            replace: Some(replacement),
             rollout: None,
         }
     }
@@ -139,8 +139,8 @@
 /// Returns the digest of a request without its id, which distinguishes a resend from a reuse of the
 /// id.
 pub fn content_digest(request: &ChangeRequest) -> ids::StateDigest {
-    if let Some(mark) = &request.replace {
-        return mark_digest(mark);
+    if let Some(replacement) = &request.replace {
+        return replacement_digest(replacement);
     }
     if let Some(rollout) = &request.rollout {
         return rollout_digest(rollout);
@@ -162,11 +162,11 @@
     ids::StateDigest(*blake3::hash(&text).as_bytes())
 }
 
-fn mark_digest(mark: &ReplacementMark) -> ids::StateDigest {
+fn replacement_digest(replacement: &CatalogueReplacement) -> ids::StateDigest {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(&mark.label.0.to_le_bytes());
-    hasher.update(&mark.base.0.to_le_bytes());
-    hasher.update(mark.document.as_bytes());
+    hasher.update(&replacement.label.0.to_le_bytes());
+    hasher.update(&replacement.base.0.to_le_bytes());
+    hasher.update(replacement.document.as_bytes());
     ids::StateDigest(*hasher.finalize().as_bytes())
 }
 
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -176,7 +176,7 @@
 /// Cost of the requests of a route with a given path prefix and method.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct KindCost {
+pub struct RequestCost {
     /// Prefix of the request's path.
     pub path_prefix: String,
     /// Methods of the request; empty to match every method.
@@ -189,7 +189,7 @@
 /// A service that receives a share of a route's calls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RoutePart {
+pub struct WeightedService {
     /// Name of the service.
     pub service: ids::EntryName,
     /// Weight relative to the other parts, 0 to 1000000. A part of weight 0 receives no calls.
@@ -210,7 +210,7 @@
     pub service: ids::EntryName,
     /// Services that share the route's calls by weight; empty if all calls go to `service`.
     #[serde(default)]
-    pub split: Vec<RoutePart>,
+    pub split: Vec<WeightedService>,
     /// Latency up to which a response has its full value to the caller, in milliseconds; defaults
     /// to the deadline.
     #[serde(default)]
@@ -226,7 +226,7 @@
     pub limits: RouteLimits,
     /// Costs of requests. The first match applies; a request without a match costs one unit.
     #[serde(default)]
-    pub costs: Vec<KindCost>,
+    pub costs: Vec<RequestCost>,
     /// Whether calls may be sent to targets in other data centres.
     #[serde(default = "yes")]
     pub spill: bool,
@@ -248,7 +248,7 @@
 
     /// Returns the cost of a request, in cost units.
     pub fn cost(&self, method: &str, path: &str) -> u32 {
-        let is_match = |cost: &&KindCost| {
+        let is_match = |cost: &&RequestCost| {
             path.starts_with(&cost.path_prefix) && matches_method(&cost.methods, method)
         };
         self.costs.iter().find(is_match).map_or(1, |cost| cost.cost)
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -170,7 +170,7 @@
     /// Returns the change that makes these entries the whole catalogue. It contains only the entries
     /// that differ from the present ones. The entries must have distinct keys. Rollouts are not part of the
     /// operator's entries; those of services that remain are kept.
-    pub fn replacing(&self, mut entries: Vec<entry::CatalogueEntry>) -> change::ChangeSet {
+    pub fn replacement_set(&self, mut entries: Vec<entry::CatalogueEntry>) -> change::ChangeSet {
         let kept: Vec<entry::CatalogueEntry> = self
             .rollouts()
             .filter_map(|rollout| kept_rollout(rollout, &entries))
--- a/crates/engine/src/replication/acceptance.rs
+++ b/crates/engine/src/replication/acceptance.rs
@@ -238,7 +238,7 @@
     request: &change::ChangeRequest,
 ) -> change::ChangeSet {
     match request.replace {
-        Some(_) => catalogue.replacing(request.put.clone()),
+        Some(_) => catalogue.replacement_set(request.put.clone()),
         None => request.clone().into_set(),
     }
 }
@@ -246,7 +246,7 @@
 /// Checks that a replacement is based on the current revision and that its label is newer.
 fn check_revision_label(
     current: &change::CatalogueRevision,
-    mark: &change::ReplacementMark,
+    mark: &change::CatalogueReplacement,
 ) -> Result<(), code::ResultCode> {
     if mark.base != current.label {
         return Err(code::ResultCode::RevisionConflict);
--- a/crates/engine/src/routing/split.rs
+++ b/crates/engine/src/routing/split.rs
@@ -15,7 +15,7 @@
 /// Round-robin state of one split route.
 #[derive(Debug, Clone, Default)]
 struct RouteRotation {
-    parts: Vec<entry::RoutePart>,
+    parts: Vec<entry::WeightedService>,
     credits: Vec<i64>,
 }
 
@@ -41,8 +41,9 @@
 
 impl RouteRotation {
     /// Starts at random credits, so that the nodes of a fleet do not select the same part in step.
-    fn start(parts: &[entry::RoutePart], random: &mut ChaCha8Rng) -> Self {
-        let credit = |part: &entry::RoutePart| random.random_range(0..=i64::from(part.weight));
+    fn start(parts: &[entry::WeightedService], random: &mut ChaCha8Rng) -> Self {
+        let credit =
+            |part: &entry::WeightedService| random.random_range(0..=i64::from(part.weight));
         Self {
             credits: parts.iter().map(credit).collect(),
             parts: parts.to_vec(),
--- a/crates/engine/tests/replication/network.rs
+++ b/crates/engine/tests/replication/network.rs
@@ -335,13 +335,13 @@
             {"kind": "class", "name": "counter", "owner": "registru", "class": "counter"},
             {"kind": "class", "name": document, "owner": "registru", "class": "counter"},
         ]);
-        let mark = change::ReplacementMark {
+        let mark = change::CatalogueReplacement {
             label: ids::RevisionLabel(label),
             base: ids::RevisionLabel(base),
             document: document.into(),
         };
         let put = serde_json::from_value(put).expect("the entries are valid");
-        let request = change::ChangeRequest::replacing(mark, put);
+        let request = change::ChangeRequest::replacement(mark, put);
         self.submit(index, request)
     }
 
--- a/crates/engine/tests/replication/rollouts.rs
+++ b/crates/engine/tests/replication/rollouts.rs
@@ -189,7 +189,7 @@
 fn replacement_keeps_rollout() {
     let (mut network, leader) = group();
     submit(&mut network, leader, order("v2", WITHIN_MS));
-    let mark = change::ReplacementMark {
+    let mark = change::CatalogueReplacement {
         label: ids::RevisionLabel(2),
         base: ids::RevisionLabel(0),
         document: "a document".into(),
@@ -198,7 +198,7 @@
     let number = submit(
         &mut network,
         leader,
-        change::ChangeRequest::replacing(mark, put),
+        change::ChangeRequest::replacement(mark, put),
     );
     receipt(&network, number);
     assert_eq!(phase(&network, leader), Some(rollout::RolloutPhase::Trial));
