--- a/crates/engine/src/replication.rs
+++ b/crates/engine/src/replication.rs
@@ -73,12 +73,12 @@
     Remove(ids::InstanceName),
 }
 
-/// The next phase of a roll-out, as decided by the leader.
+/// The next phase of a rollout, as decided by the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutTransition {
-    /// The roll-out entry in its new phase.
+    /// The rollout entry in its new phase.
     pub entry: rollout::RolloutEntry,
-    /// Time since the roll-out was ordered.
+    /// Time since the rollout was ordered.
     pub elapsed: std::time::Duration,
 }
 
@@ -89,7 +89,7 @@
     Propose(Box<ChangeProposal>),
     /// An operator reads the current revision.
     ReadRevision(ProposalNumber),
-    /// The leader moves a roll-out to its next phase.
+    /// The leader moves a rollout to its next phase.
     AdvanceRollout(Box<RolloutTransition>),
     /// The administrator adds or removes a voter.
     ChangeGroup {
@@ -130,7 +130,7 @@
         /// The faults found by validation; empty when the reason is not the content.
         faults: Vec<change::CatalogueFault>,
     },
-    /// This replica does not lead. Carries the peers address of the leader.
+    /// This replica does not lead. Carries the peer address of the leader.
     Elsewhere(SocketAddr),
     /// The outcome is not known: the change may still be committed later.
     Unknown,
@@ -176,20 +176,27 @@
     hard_state: wire::HardState,
     log: window::LogWindow,
     state_machine: state_machine::StateMachine,
+    /// Position of the last committed entry, which is also the last one applied.
     commit: ids::LogPosition,
     role: ReplicaRole,
+    /// Peer address of the leader, if another replica is known to lead.
     leader: Option<SocketAddr>,
+    /// When a message last came from the leader.
     leader_heard_at: Option<time::MonotonicTime>,
     /// Latest time at which a majority is known to have confirmed that this replica was up to date.
     proven_at: Option<time::MonotonicTime>,
+    /// When this replica next stands for election, unless it hears from a leader before.
     election_at: Option<time::MonotonicTime>,
     write_queue: persist::WriteQueue,
+    /// Latest introductions received while the group is bootstrapped, by peer address.
     introductions: IndexMap<SocketAddr, group::IntroducedReplica>,
+    /// When this replica last introduced itself to the other controls.
     introduced_at: Option<time::MonotonicTime>,
     /// Set from a failed write until the full rewrite is synced. Meanwhile the replica sends no
     /// message and takes no proposal.
     store_failure: Option<failed_store::FailedStore>,
-    /// Roll-out orders that were in the log when the process started.
+    /// Rollout orders that were in the log when the process started, by the catalogue version that
+    /// each produced.
     recovered_orders: IndexSet<ids::CatalogueVersion>,
 }
 
@@ -266,7 +273,7 @@
         state
     }
 
-    /// Whether a roll-out order was in the log when the process started. Its age is then unknown,
+    /// Whether a rollout order was in the log when the process started. Its age is then unknown,
     /// since monotonic time does not survive a restart.
     pub fn is_recovered(&self, order: ids::CatalogueVersion) -> bool {
         self.recovered_orders.contains(&order)
@@ -298,10 +305,10 @@
         to: Option<ids::ReplicaId>,
         body: wire::ReplicationBody,
     ) -> message::PeerMessage {
-        self.message_in(self.hard_state.term, to, body)
+        self.message_in_term(self.hard_state.term, to, body)
     }
 
-    fn message_in(
+    fn message_in_term(
         &self,
         term: ids::LeaderTerm,
         to: Option<ids::ReplicaId>,
@@ -377,7 +384,7 @@
     run_step(state, output, |replication, context| match event {
         ReplicationEvent::Propose(proposal) => replication.propose(context, *proposal),
         ReplicationEvent::ReadRevision(number) => replication.read_revision(context, number),
-        ReplicationEvent::AdvanceRollout(step) => replication.advance_rollout(context, *step),
+        ReplicationEvent::AdvanceRollout(next) => replication.advance_rollout(context, *next),
         ReplicationEvent::ChangeGroup { number, change } => {
             replication.change_group(context, number, &change);
         }
--- a/crates/engine/src/replication/confirmation.rs
+++ b/crates/engine/src/replication/confirmation.rs
@@ -33,7 +33,10 @@
     answer: ConfirmedAnswer,
 }
 
-/// Answers that wait for confirmation, and the stamp of the requests to the other replicas.
+/// Answers that wait for confirmation, and the stamp of the latest requests to the other replicas.
+///
+/// A stamp is the leader's time of sending, made strictly increasing. Replicas return it in their
+/// acknowledgements.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ConfirmationQueue {
     pending: VecDeque<PendingConfirmation>,
@@ -52,7 +55,7 @@
         self.last_stamp
     }
 
-    /// Numbers of all waiting proposals.
+    /// Numbers of all waiting proposals and reads.
     pub(super) fn into_numbers(self) -> impl Iterator<Item = ProposalNumber> {
         self.pending.into_iter().map(|pending| pending.number)
     }
--- a/crates/engine/src/replication/election.rs
+++ b/crates/engine/src/replication/election.rs
@@ -59,7 +59,7 @@
         for voter in self.other_voters() {
             let term = self.hard_state.term.next();
             let body = wire::ReplicationBody::PreVote(last);
-            let message = self.message_in(term, Some(voter.replica), body);
+            let message = self.message_in_term(term, Some(voter.replica), body);
             context.output.send(voter.address, message);
         }
     }
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Answers a pre-vote request: granted unless a leader is alive or the own log is more up to
-    /// date.
+    /// Answers a pre-vote request: granted for a later term, unless a leader is alive or this
+    /// replica's log is more up to date.
     pub(super) fn handle_pre_vote(
         &mut self,
         context: &mut ReplicaContext,
@@ -101,7 +101,7 @@
         } else {
             self.hard_state.term
         };
-        let message = self.message_in(term, Some(replica), body);
+        let message = self.message_in_term(term, Some(replica), body);
         context.output.send(address, message);
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Answers a vote request: granted to the first candidate of the term whose log is at least as
-    /// up to date as the own one.
+    /// up to date as this replica's.
     pub(super) fn handle_vote_request(
         &mut self,
         context: &mut ReplicaContext,
--- a/crates/engine/src/replication/follower.rs
+++ b/crates/engine/src/replication/follower.rs
@@ -87,12 +87,14 @@
         answer.is_accepted = true;
         answer.position = snapshot.mark.position;
         if snapshot.mark.position > self.commit {
-            self.restore(context, snapshot);
+            self.install_snapshot(context, snapshot);
         }
         self.acknowledge(address, replica, answer);
     }
 
-    fn restore(&mut self, context: &mut ReplicaContext, snapshot: wire::LogSnapshot) {
+    /// Replaces the committed state by a snapshot. Keeps the entries after it if the log contains
+    /// its last entry, and otherwise discards the log.
+    fn install_snapshot(&mut self, context: &mut ReplicaContext, snapshot: wire::LogSnapshot) {
         let position = snapshot.mark.position;
         if self.has_entry(snapshot.mark) {
             self.log.compact(position);
@@ -121,6 +123,7 @@
         self.schedule_election(context);
     }
 
+    /// Whether this replica's log has the entry with this term and position, compacted or not.
     fn has_entry(&self, mark: wire::LogMark) -> bool {
         // Everything before the base is committed and therefore identical on every leader.
         mark.position < self.log.base().position
@@ -151,6 +154,7 @@
         }
     }
 
+    /// Answers the leader once all writes so far are synced.
     fn acknowledge(
         &mut self,
         address: SocketAddr,
--- a/crates/engine/src/replication/group.rs
+++ b/crates/engine/src/replication/group.rs
@@ -68,6 +68,8 @@
         }
     }
 
+    /// Introduces this replica to another one. If `asks` is set, the receiver introduces itself in
+    /// return.
     fn send_introduction(
         &self,
         context: &mut ReplicaContext,
@@ -80,7 +82,7 @@
         control.dedup();
         let voters = self.log.group().voters.iter();
         let introduction = wire::ReplicaIntroduction {
-            standing: self.standing(),
+            standing: self.status(),
             control,
             voters: voters.map(|voter| voter.replica).collect(),
             leader: if matches!(self.role, ReplicaRole::Leader(_)) {
@@ -107,7 +109,8 @@
         })
     }
 
-    pub(super) fn standing(&self) -> wire::ReplicaStatus {
+    /// Whether this replica is a voter, waits for the bootstrap or is a learner.
+    pub(super) fn status(&self) -> wire::ReplicaStatus {
         if self.is_voter() {
             wire::ReplicaStatus::Voter
         } else if self.hard_state.is_forming {
@@ -133,7 +136,8 @@
         if !is_forming && !self.log.group().has_voter(replica) {
             self.track_learner(context, from, replica);
         }
-        // The leader may not be in anyone's settings; its followers tell where it is.
+        // The leader need not be listed in any settings; other replicas give its address in their
+        // introductions.
         let own = context.settings.identity.address;
         if let Some(leader) = introduction.leader
             && self.leader.is_none()
@@ -185,6 +189,7 @@
         });
     }
 
+    /// Gives up the bootstrap because a group that excludes this replica already exists.
     fn abandon_bootstrap(&mut self, context: &mut ReplicaContext, by: &ids::InstanceName) {
         self.hard_state.is_forming = false;
         self.write_queue.queue_hard_state();
@@ -320,6 +325,7 @@
         Ok(group)
     }
 
+    /// Returns the learner at an instance, or the reason why it cannot be promoted now.
     fn promotable_learner(
         &self,
         context: &ReplicaContext,
@@ -340,10 +346,10 @@
             }
             return Err(format!("{instance} is no learner that the leader has met"));
         };
-        let is_same_place = |voter: &wire::GroupMember| {
+        let shares_name_or_address = |voter: &wire::GroupMember| {
             voter.instance == *instance || voter.address == progress.address
         };
-        if group.voters.iter().any(is_same_place) {
+        if group.voters.iter().any(shares_name_or_address) {
             return Err(format!(
                 "{instance} still has the vote of its earlier folder; remove it first"
             ));
--- a/crates/engine/src/replication/healing.rs
+++ b/crates/engine/src/replication/healing.rs
@@ -103,14 +103,15 @@
         voters.iter().rev().find(|voter| voter.replica != own)
     }
 
-    /// Instances of learners that could be promoted now.
+    /// Instances of the learners that could be promoted now: caught up, and not at the instance or
+    /// address of a voter.
     fn promotable_instances(
         &self,
         context: &ReplicaContext,
         leader: &leader::LeaderState,
     ) -> impl Iterator<Item = ids::InstanceName> {
         let voters = &self.log.group().voters;
-        let is_same_place = |progress: &leader::ReplicaProgress| {
+        let shares_name_or_address = |progress: &leader::ReplicaProgress| {
             voters.iter().any(|voter| {
                 progress.instance.as_ref() == Some(&voter.instance)
                     || progress.address == voter.address
@@ -118,7 +119,7 @@
         };
         self.learners(leader)
             .filter(|(_, progress)| {
-                self.is_caught_up(context, progress) && !is_same_place(progress)
+                self.is_caught_up(context, progress) && !shares_name_or_address(progress)
             })
             .filter_map(|(_, progress)| progress.instance.clone())
             .collect::<Vec<_>>()
--- a/crates/engine/src/replication/leader.rs
+++ b/crates/engine/src/replication/leader.rs
@@ -33,6 +33,7 @@
     /// Whether `next` is known to match the replica's log, so that further entries can be sent
     /// before the previous ones are acknowledged.
     is_pipelining: bool,
+    /// When a snapshot was sent that the replica has not yet acknowledged.
     snapshot_sent_at: Option<time::MonotonicTime>,
 }
 
@@ -69,6 +70,7 @@
     pending_answers: VecDeque<(ids::LogPosition, ProposalNumber, ProposalAnswer)>,
     /// Answers that wait until a majority confirms that this replica still leads.
     pub(super) confirmations: confirmation::ConfirmationQueue,
+    /// When entries or a heartbeat were last sent to all replicas.
     last_heartbeat: Option<time::MonotonicTime>,
 }
 
@@ -87,7 +89,9 @@
             .insert(place, (position, number, answer));
     }
 
-    /// Answers all pending proposals when the leader steps down.
+    /// Answers all pending proposals and reads when the leader steps down. Those that wait for a
+    /// commit get [`ProposalAnswer::Unknown`], since the entry may still be committed; those that
+    /// wait for a confirmation of leadership are rejected.
     pub(super) fn fail_pending(self, version: ids::CatalogueVersion, context: &mut ReplicaContext) {
         for (_, number, _) in self.pending_answers {
             context.answer(number, ProposalAnswer::Unknown);
--- a/crates/engine/src/replication/persist.rs
+++ b/crates/engine/src/replication/persist.rs
@@ -57,7 +57,9 @@
     /// Last position covered by the latest snapshot.
     pub(super) snapshot_position: ids::LogPosition,
     draft: PersistBatch,
+    /// Whether the hard state has changed since the last batch.
     is_hard_state_dirty: bool,
+    /// Effects of the current step that wait for its writes.
     held_effects: Vec<event::Effect>,
     in_flight: VecDeque<PendingBatch>,
     last_batch: u64,
--- a/crates/engine/src/replication/rollout_orders.rs
+++ b/crates/engine/src/replication/rollout_orders.rs
@@ -1,6 +1,6 @@
-//! Roll-out orders of operators, and the phase transitions written by the leader.
+//! Rollout orders of operators, and the phase transitions written by the leader.
 //!
-//! Roll-out entries enter the log only from this module: an order creates the entry, the leader
+//! Rollout entries enter the log only from this module: an order creates the entry, the leader
 //! moves it through its phases, and each transition carries the catalogue version of its order.
 
 use hazeltiller_catalogue::{change, entry, rollout, state as catalogue_state};
@@ -15,7 +15,7 @@
 };
 use crate::membership;
 
-/// Validates a roll-out request against the state at the end of the log.
+/// Validates a rollout request against the state at the end of the log.
 pub(super) fn validate(
     context: &ReplicaContext,
     head: &state_machine::StateMachine,
@@ -141,7 +141,7 @@
     of_service.map(|target| target.version.clone()).collect()
 }
 
-/// Checks that an operator's change neither adds or modifies roll-outs nor removes a running one.
+/// Checks that an operator's change neither adds or modifies rollouts nor removes a running one.
 pub(super) fn check_rollouts_unchanged(
     catalogue: &catalogue_state::CatalogueState,
     set: &change::ChangeSet,
@@ -150,7 +150,7 @@
         Some(entry::CatalogueEntry::Rollout(latest)) => latest.phase.is_running(),
         _ => false,
     };
-    // A replacement of the catalogue contains the unchanged roll-outs of the services it keeps.
+    // A replacement of the catalogue contains the unchanged rollouts of the services it keeps.
     let is_modified = |entry: &&entry::CatalogueEntry| {
         let entry::CatalogueEntry::Rollout(put) = entry else {
             return false;
@@ -177,7 +177,7 @@
 }
 
 impl ReplicationState {
-    /// Appends a roll-out's next phase, unless the roll-out has changed since the decision.
+    /// Appends a rollout's next phase, unless the rollout has changed since the decision.
     pub(super) fn advance_rollout(
         &mut self,
         context: &mut ReplicaContext,
@@ -200,7 +200,7 @@
         }
         let id = format!("rollout-{}-{}", next.order, next.phase);
         let change_id: ids::ChangeId = id.parse().expect("all characters are valid in a change id");
-        let ordered = leader.head.accepted_version(next.order);
+        let ordered_at_ms = leader.head.acceptance_time_ms(next.order);
         let set = change::ChangeSet {
             put: vec![entry::CatalogueEntry::Rollout(next)],
             remove: Vec::new(),
@@ -208,7 +208,8 @@
         let change = wire::LoggedChange {
             content: change::set_digest(&set),
             change_id,
-            accepted_at_ms: ordered.map_or(0, |at| at + transition.elapsed.as_millis() as u64),
+            accepted_at_ms: ordered_at_ms
+                .map_or(0, |at| at + transition.elapsed.as_millis() as u64),
             operator: None,
             set,
             revision: None,
@@ -218,7 +219,7 @@
     }
 }
 
-/// Catalogue versions of the orders whose roll-outs appear in log entries.
+/// Catalogue versions of the orders whose rollouts appear in log entries.
 pub(super) fn rollout_orders_in(entries: &[wire::LogEntry]) -> IndexSet<ids::CatalogueVersion> {
     let changes = entries.iter().filter_map(|entry| match &entry.payload {
         wire::LogPayload::Change(change) => Some(&change.set.put),
--- a/crates/engine/src/replication/state_machine.rs
+++ b/crates/engine/src/replication/state_machine.rs
@@ -87,7 +87,7 @@
 
     /// Acceptance time of the change that made a version, in milliseconds since the Unix epoch, if
     /// it is still stored.
-    pub(super) fn accepted_version(&self, version: ids::CatalogueVersion) -> Option<u64> {
+    pub(super) fn acceptance_time_ms(&self, version: ids::CatalogueVersion) -> Option<u64> {
         let mut history = self.history().map(|accepted| &accepted.receipt);
         let receipt = history.find(|receipt| receipt.version == version)?;
         Some(receipt.accepted_at_ms)
--- a/crates/engine/src/replication/view.rs
+++ b/crates/engine/src/replication/view.rs
@@ -16,7 +16,7 @@
     pub instance: Option<ids::InstanceName>,
     /// Its id, which identifies its data folder.
     pub replica: ids::ReplicaId,
-    /// Its peers address.
+    /// Its peer address.
     pub address: SocketAddr,
     /// Whether it is a voter rather than a learner.
     pub is_voter: bool,
@@ -33,7 +33,7 @@
     pub replica: ids::ReplicaId,
     /// `leader`, `follower`, `candidate`, `learner` or `forming`.
     pub role: String,
-    /// Peers address of the leader, if one is known.
+    /// Peer address of the leader, if one is known.
     pub leader: Option<SocketAddr>,
     /// Current term.
     pub term: ids::LeaderTerm,
@@ -113,7 +113,7 @@
         self.state_machine.accepted(id)
     }
 
-    /// Peers address of the current leader if it is another replica and was heard from within an
+    /// Peer address of the current leader if it is another replica and was heard from within an
     /// election timeout.
     pub fn live_leader(&self, state: &reducer::EngineState) -> Option<SocketAddr> {
         let period = settings::millis(state.settings.tunables.replication.election_ms);
@@ -139,7 +139,7 @@
     }
 
     fn role_name(&self) -> &'static str {
-        match (&self.role, self.standing()) {
+        match (&self.role, self.status()) {
             (ReplicaRole::Leader(_), _) => LEADER_ROLE,
             (_, wire::ReplicaStatus::Forming) => "forming",
             (_, wire::ReplicaStatus::Learner) => "learner",
@@ -164,7 +164,7 @@
         for (replica, progress) in &leader.replicas {
             let is_alive = Some(state.now.since(progress.heard_at) < period);
             let matched = Some(progress.matched);
-            let known = members.iter_mut().find(|one| one.replica == *replica);
+            let known = members.iter_mut().find(|member| member.replica == *replica);
             match known {
                 Some(member) => {
                     member.matched = matched;
--- a/crates/engine/src/replication/window.rs
+++ b/crates/engine/src/replication/window.rs
@@ -24,6 +24,7 @@
     /// Voter configurations with the position from which each applies; the first applies at the
     /// base.
     groups: Vec<(ids::LogPosition, wire::ControlGroup)>,
+    /// Empty configuration, returned where none applies.
     no_group: wire::ControlGroup,
 }
 
@@ -63,8 +64,8 @@
         self.entries.get(index as usize).map(|sized| &sized.entry)
     }
 
-    /// Entries from a position on, at most `limit` and only as many as fit in a message, but at
-    /// least one if any exists.
+    /// Entries from a position on: at most `limit`, and as many as fit in a message but at least
+    /// one, if any exists.
     pub(super) fn slice_for_message(
         &self,
         from: ids::LogPosition,
--- a/crates/engine/tests/replication/rollouts.rs
+++ b/crates/engine/tests/replication/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-out orders and phase transitions in the replicated log.
+//! Rollout orders and phase transitions in the replicated log.
 
 use hazeltiller_catalogue::{change, rollout};
 use hazeltiller_engine::replication;
@@ -9,7 +9,7 @@
 
 /// Rounds of `settle` that suffice to elect a new leader.
 const ELECTION_ROUNDS: usize = 150;
-/// Rounds of `settle` that exceed the time limit of the roll-outs below.
+/// Rounds of `settle` that exceed the time limit of the rollouts below.
 const ROLLOUT_ROUNDS: usize = 700;
 const WITHIN_MS: u32 = 12_000;
 
@@ -74,13 +74,13 @@
     network.crash(leader, 0);
     network.settle(ELECTION_ROUNDS);
     let next = network.leader().expect("two of three replicas are running");
-    let entry = latest(&network, next).expect("the roll-out entry exists");
+    let entry = latest(&network, next).expect("the rollout entry exists");
     assert_eq!(
         (entry.order, entry.phase),
         (ordered, rollout::RolloutPhase::Trial)
     );
     network.settle(ROLLOUT_ROUNDS);
-    let entry = latest(&network, next).expect("the roll-out entry exists");
+    let entry = latest(&network, next).expect("the rollout entry exists");
     assert_eq!(entry.order, ordered);
     assert_eq!(
         entry.phase,
@@ -131,7 +131,7 @@
         network.restart(control);
     }
     network.settle(ELECTION_ROUNDS);
-    let entry = latest(&network, leader).expect("the roll-out entry exists");
+    let entry = latest(&network, leader).expect("the rollout entry exists");
     assert_eq!(entry.phase, rollout::RolloutPhase::RolledBack);
     let reason = "the controls were restarted and do not know how long it has gone on";
     assert_eq!(entry.reason, reason);
@@ -158,7 +158,7 @@
         let number = submit(&mut network, leader, request);
         assert_eq!(refusal(&network, number), Some(expected));
     }
-    assert_eq!(latest(&network, leader), None, "no roll-out was started");
+    assert_eq!(latest(&network, leader), None, "no rollout was started");
     submit(&mut network, leader, order("v2", WITHIN_MS));
     let number = submit(&mut network, leader, order("v3", WITHIN_MS));
     let expected = Some(code::ResultCode::RolloutInProgress);
@@ -216,7 +216,7 @@
         change::ChangeRequest::rollout(id, abort),
     );
     receipt(&network, number);
-    let entry = latest(&network, leader).expect("the roll-out entry exists");
+    let entry = latest(&network, leader).expect("the rollout entry exists");
     assert_eq!(entry.phase, rollout::RolloutPhase::RolledBack);
     assert_eq!(entry.reason, "aborted by an operator");
 }
