--- a/crates/engine/src/ledger/acceptor.rs
+++ b/crates/engine/src/ledger/acceptor.rs
@@ -11,8 +11,9 @@
 
 /// Number of superfluous records, in addition to twice the number of claims, above which the claims
 /// file is rewritten.
-const REWRITE_SLACK: usize = 4096;
+const REWRITE_SLACK_RECORDS: usize = 4096;
 
+/// A claim that this control stores.
 #[derive(Debug, Clone, Copy)]
 struct AcceptedClaim {
     stored: wire::StoredClaim,
@@ -20,6 +21,7 @@
     batch: u64,
 }
 
+/// A grant to be sent once its batch is synced.
 #[derive(Debug, Clone, Copy)]
 struct PendingGrant {
     batch: u64,
@@ -32,14 +34,17 @@
 #[derive(Debug, Clone)]
 pub struct AcceptorState {
     claims: IndexMap<wire::RequestDigest, AcceptedClaim>,
+    /// Claims in the order of their expiry, with the time at which each was stored or recovered. A
+    /// released claim remains until it would have expired.
     expiry_order: VecDeque<(time::MonotonicTime, wire::RequestDigest, wire::ClaimId)>,
     /// Whether the claims file may lack claims that were granted earlier.
-    standing: wire::ClaimsCompleteness,
+    completeness: wire::ClaimsCompleteness,
     pending_grants: VecDeque<PendingGrant>,
     /// Records to be written with the next tick or claim; nothing waits for their sync.
     pending_records: Vec<wire::ClaimRecord>,
     last_batch: u64,
     synced_batch: u64,
+    /// Number of records in the claims file.
     record_count: usize,
     /// Set from a failed write until the full rewrite is synced. No claim is granted meanwhile.
     store_failure: Option<failed_store::FailedStore>,
@@ -51,7 +56,7 @@
     /// of the control group proves that no earlier folder of this control can have granted any.
     pub fn recover(
         stored: IndexMap<wire::RequestDigest, wire::StoredClaim>,
-        standing: wire::ClaimsCompleteness,
+        completeness: wire::ClaimsCompleteness,
     ) -> Self {
         let start = time::MonotonicTime::default();
         let expiry_order = stored
@@ -66,7 +71,7 @@
         Self {
             claims,
             expiry_order,
-            standing,
+            completeness,
             pending_grants: VecDeque::new(),
             pending_records: Vec::new(),
             last_batch: 0,
@@ -88,7 +93,7 @@
 
     /// Whether a new claim can be stored and granted, given the largest number of claims.
     fn can_accept(&self, max_claims: usize) -> bool {
-        self.standing == wire::ClaimsCompleteness::Whole
+        self.completeness == wire::ClaimsCompleteness::Whole
             && self.store_failure.is_none()
             && self.claims.len() < max_claims
     }
@@ -101,7 +106,7 @@
     fn write_pending(&mut self, output: &mut event::ReducerOutput) {
         let records = std::mem::take(&mut self.pending_records);
         self.record_count += records.len();
-        if self.record_count > 2 * self.claims.len() + REWRITE_SLACK {
+        if self.record_count > 2 * self.claims.len() + REWRITE_SLACK_RECORDS {
             return self.rewrite(output);
         }
         self.persist(records, false, output);
@@ -130,7 +135,7 @@
     }
 
     fn all_records(&self) -> Vec<wire::ClaimRecord> {
-        let mut records = vec![wire::ClaimRecord::Standing(self.standing)];
+        let mut records = vec![wire::ClaimRecord::Standing(self.completeness)];
         for (request, accepted) in &self.claims {
             let claim = accepted.stored.claim;
             records.push(wire::ClaimRecord::Kept(*request, claim));
@@ -167,12 +172,12 @@
     acceptor.expire(now, retention);
     let is_retention_over = now.since(time::MonotonicTime::default()) >= retention;
     let is_proven_complete =
-        acceptor.standing == wire::ClaimsCompleteness::Unproven && is_founding_replica;
-    if acceptor.standing != wire::ClaimsCompleteness::Whole
+        acceptor.completeness == wire::ClaimsCompleteness::Unproven && is_founding_replica;
+    if acceptor.completeness != wire::ClaimsCompleteness::Whole
         && (is_retention_over || is_proven_complete)
     {
-        acceptor.standing = wire::ClaimsCompleteness::Whole;
-        let record = wire::ClaimRecord::Standing(acceptor.standing);
+        acceptor.completeness = wire::ClaimsCompleteness::Whole;
+        let record = wire::ClaimRecord::Standing(acceptor.completeness);
         acceptor.pending_records.push(record);
     }
     match &mut acceptor.store_failure {
--- a/crates/engine/src/ledger/claim_table.rs
+++ b/crates/engine/src/ledger/claim_table.rs
@@ -10,12 +10,12 @@
 
 /// Number of released claims that a node remembers, so that it can tell others that nothing ran
 /// under them.
-const MAX_RELEASED: usize = 4096;
+const MAX_RELEASED_CLAIMS: usize = 4096;
 
 /// A call that waits for the outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ClaimWaiter {
-    /// Peers address of the call's node, which may be this process.
+    /// Peer address of the call's node, which may be this process.
     pub(super) node: SocketAddr,
     /// The call at that node.
     pub(super) call: ids::CallId,
@@ -59,24 +59,31 @@
 pub(super) struct WaitingCall {
     pub(super) request: wire::RequestDigest,
     pub(super) holder: wire::ClaimId,
+    /// Whether a control has recorded that the claimed request ran.
     pub(super) is_done: bool,
     pub(super) queried_at: time::MonotonicTime,
     /// Time of the holder's latest answer, or of the first query before any answer.
     pub(super) heard_at: time::MonotonicTime,
+    /// Whether the holder has answered that the claim is undecided or running.
     pub(super) is_running: bool,
 }
 
 /// The claims of this node, and the calls that wait for another claim.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimTable {
+    /// Number of this node's latest claim.
     pub(super) last_number: u64,
     pub(super) claims: IndexMap<wire::RequestDigest, OwnClaim>,
+    /// Requests whose claims have not ended, by call.
     pub(super) by_call: IndexMap<ids::CallId, wire::RequestDigest>,
     pub(super) waiting_calls: IndexMap<ids::CallId, WaitingCall>,
     /// Calls whose request is to be claimed again, with the time for it.
     pub(super) backoffs: IndexMap<ids::CallId, (time::MonotonicTime, wire::RequestDigest)>,
+    /// The latest released claims, oldest first.
     released: IndexSet<wire::ClaimId>,
+    /// Ended claims with the time of their end, oldest first.
     ended_claims: VecDeque<(time::MonotonicTime, wire::RequestDigest, wire::ClaimId)>,
+    /// Size of the stored answers.
     kept_bytes: usize,
 }
 
@@ -101,6 +108,7 @@
         self.kept_bytes
     }
 
+    /// Removes a call that waits for another claim or for its next attempt to claim.
     pub(super) fn remove_waiting(&mut self, call: ids::CallId) {
         self.waiting_calls.swap_remove(&call);
         self.backoffs.swap_remove(&call);
@@ -110,7 +118,7 @@
     pub(super) fn release(&mut self, request: &wire::RequestDigest) -> Option<OwnClaim> {
         let own = self.claims.swap_remove(request)?;
         self.by_call.swap_remove(&own.call);
-        if self.released.len() >= MAX_RELEASED {
+        if self.released.len() >= MAX_RELEASED_CLAIMS {
             self.released.shift_remove_index(0);
         }
         self.released.insert(own.claim);
@@ -163,7 +171,8 @@
         }
     }
 
-    /// Removes answers that are too old, and the oldest ones above the limits on count and size.
+    /// Removes ended claims that are too old, and the oldest ones while their number or the size of
+    /// their stored answers exceeds its limit.
     pub(super) fn expire(&mut self, now: time::MonotonicTime, tunables: &settings::LedgerTunables) {
         let max_age = Duration::from_millis(tunables.kept_ms);
         while let Some((ended_at, request, claim)) = self.ended_claims.front().copied() {
--- a/crates/engine/src/ledger/holder_query.rs
+++ b/crates/engine/src/ledger/holder_query.rs
@@ -134,8 +134,8 @@
     }
 }
 
-/// Claims requests again whose backoff is over, repeats queries, and refuses calls whose deadline
-/// has passed or whose holder does not answer.
+/// Claims the requests whose backoff is over, repeats queries, and refuses calls whose deadline has
+/// passed or whose holder does not answer.
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     claim_again(state, output);
     let now = state.now;
@@ -167,6 +167,7 @@
     }
 }
 
+/// Claims the requests whose backoff is over.
 fn claim_again(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let now = state.now;
     let due = state.ledger.table.backoffs.iter();
@@ -185,6 +186,8 @@
     }
 }
 
+/// Refusal of a call whose deadline has passed, or whose holder has not answered in time
+/// (`is_silent`).
 fn refusal(waiting: &claim_table::WaitingCall, is_silent: bool) -> wire_calls::CallRefusal {
     if waiting.is_done {
         already_done()
@@ -195,6 +198,7 @@
     }
 }
 
+/// Refusal of a request that has run, but whose answer is not available.
 fn already_done() -> wire_calls::CallRefusal {
     wire_calls::CallRefusal {
         outcome: wire_calls::CallOutcome::Ran,
--- a/crates/engine/src/ledger/own_claim.rs
+++ b/crates/engine/src/ledger/own_claim.rs
@@ -97,7 +97,7 @@
     output.enqueue(event::Event::Calls(claimed));
 }
 
-/// Handles a control's denial.
+/// Handles a control's denial. The claim is withdrawn once it can no longer get a majority.
 pub fn handle_denial(
     state: &mut reducer::EngineState,
     from: SocketAddr,
@@ -177,7 +177,8 @@
     settle(state, request, outcome, output);
 }
 
-/// Handles the refusal of a claimed call.
+/// Handles the refusal of a claimed call: releases the claim if the request did not run, and ends
+/// it otherwise.
 pub fn settle(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
@@ -215,6 +216,7 @@
     );
 }
 
+/// Ends a claim whose call was sent, and notifies the calls that wait for it.
 fn end_claim(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
@@ -267,6 +269,7 @@
     }
 }
 
+/// Requests the missing grants of an undecided claim again.
 fn resend(
     state: &mut reducer::EngineState,
     request: wire::RequestDigest,
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -183,6 +183,9 @@
         );
     }
 
+    /// Ends the latest run of a node: `end` 0 stands for an answer, 1 for a refusal that proves
+    /// that the request did not run, 2 for a failure with unknown outcome, and 3 for a call whose
+    /// task ends without a result.
     fn end_run(&mut self, index: usize, end: u8) {
         let Some(call) = self.processes[index].running.pop() else {
             return;
