--- a/crates/engine/src/dissemination.rs
+++ b/crates/engine/src/dissemination.rs
@@ -86,6 +86,7 @@
     history: version::VersionHistory,
     pull: pull::PullState,
     last_report: report::SentReport,
+    /// Receivers of snapshots that are not yet acknowledged, with the time of sending.
     snapshots_in_flight: Vec<(SocketAddr, time::MonotonicTime)>,
     /// Cached encoding of the version in force, with its digest.
     packed: Option<(ids::StateDigest, wire::PackedCatalogue)>,
@@ -151,7 +152,7 @@
     pull::observe(state, from, held);
 }
 
-/// Handles the loss of a link to a peer.
+/// Handles the loss of a link to a peer, which may be the parent.
 pub fn link_lost(
     state: &mut reducer::EngineState,
     address: SocketAddr,
@@ -187,7 +188,7 @@
             child::handle_keepalive(state, from, report, output);
         }
         wire::DisseminationMessage::Ack(report) => child::handle_ack(state, from, report, output),
-        wire::DisseminationMessage::Parent(mark) => parent::handle_mark(state, from, mark, output),
+        wire::DisseminationMessage::Parent(status) => parent::update(state, from, status, output),
         wire::DisseminationMessage::Redirect(addresses) => {
             parent::handle_redirect(state, from, addresses);
         }
@@ -196,12 +197,12 @@
             version::on_snapshot(state, from, &snapshot, output);
         }
         wire::DisseminationMessage::Pull(pull) => child::handle_pull(state, from, pull, output),
-        wire::DisseminationMessage::FloorQuestion => floor::handle_question(state, from, output),
+        wire::DisseminationMessage::FloorQuestion => floor::handle_query(state, from, output),
         wire::DisseminationMessage::FloorAnswer(answer) => {
             floor::handle_answer(state, from, answer);
         }
         wire::DisseminationMessage::Tally(report) => {
-            convergence::handle_tally(state, from, report, output);
+            convergence::handle_control_report(state, from, report, output);
         }
         wire::DisseminationMessage::RosterWanted => convergence::resend_roster(state),
     }
--- a/crates/engine/src/dissemination/child.rs
+++ b/crates/engine/src/dissemination/child.rs
@@ -39,15 +39,16 @@
     /// The version that the child last reported as in force on itself.
     pub held: wire_membership::VersionSummary,
     /// Every node of the child's subtree has this version or a later one in force.
-    pub floor: ids::CatalogueVersion,
+    pub subtree_floor: ids::CatalogueVersion,
     /// Exclusive or of the name digests of the nodes in the child's subtree.
     pub fingerprint: wire_membership::ShortDigest,
     /// Name digests of the nodes in the child's subtree. May be outdated until the child sends its
     /// roster again; see [`Self::has_roster`].
     pub roster: IndexSet<wire_membership::ShortDigest>,
-    /// Since when the floor has been below the version in force here without advancing; `None` if
-    /// it is not below. Zero for a child that has not caught up since it was adopted.
+    /// Since when `subtree_floor` has been below the version in force here without advancing;
+    /// `None` if it is not below. Zero for a child that has not caught up since it was adopted.
     pub lagging_since: Option<time::MonotonicTime>,
+    /// The version up to which changes have been sent to the child.
     sent_version: ids::CatalogueVersion,
     sent_at: time::MonotonicTime,
 }
@@ -77,7 +78,7 @@
         adopt(state, from, &report);
     }
     apply_report(state, from.address, report, true);
-    send_parent_mark(state, from.address, output);
+    send_parent_status(state, from.address, output);
     update_child(state, from.address, output);
     report::send_progress(state, output);
 }
@@ -94,6 +95,8 @@
     report::send_progress(state, output);
 }
 
+/// Returns whether a node may become a child: this process has a path to a control that does not
+/// lead through the node, and the limit on children is not reached.
 fn can_adopt(state: &reducer::EngineState, from: &wire_membership::PeerIdentity) -> bool {
     let dissemination = &state.dissemination;
     let is_own_parent = dissemination.parent.address == Some(from.address);
@@ -128,7 +131,7 @@
         identity: from.clone(),
         last_heard: state.now,
         held: report.held,
-        floor: ids::CatalogueVersion::default(),
+        subtree_floor: ids::CatalogueVersion::default(),
         fingerprint: wire_membership::ShortDigest::default(),
         roster: IndexSet::new(),
         lagging_since: Some(time::MonotonicTime::default()),
@@ -154,6 +157,8 @@
     dissemination::send(output, from.address, message);
 }
 
+/// Updates the record of a child from its report. With `can_resend`, changes that the child has not
+/// acknowledged in time are sent again.
 fn apply_report(
     state: &mut reducer::EngineState,
     from: SocketAddr,
@@ -168,13 +173,13 @@
     };
     child.last_heard = now;
     child.held = report.held;
-    let has_advanced = report.subtree.floor > child.floor;
-    child.floor = report.subtree.floor;
+    let has_advanced = report.subtree.floor > child.subtree_floor;
+    child.subtree_floor = report.subtree.floor;
     child.fingerprint = report.subtree.fingerprint;
     if let Some(roster) = report.subtree.roster {
         child.roster = roster.into_iter().collect();
     }
-    if child.floor >= in_force {
+    if child.subtree_floor >= in_force {
         child.lagging_since = None;
     } else if has_advanced && child.lagging_since.is_some() {
         child.lagging_since = Some(now);
@@ -191,18 +196,18 @@
     }
 }
 
-fn send_parent_mark(
+fn send_parent_status(
     state: &reducer::EngineState,
     to: SocketAddr,
     output: &mut event::ReducerOutput,
 ) {
     let child = state.dissemination.children.get(&to);
-    let mark = wire::ParentStatus {
+    let status = wire::ParentStatus {
         held: dissemination::version_summary(state),
         path: parent::path_from_control(state),
         wants_roster: child.is_some_and(|child| !child.has_roster()),
     };
-    dissemination::send(output, to, wire::DisseminationMessage::Parent(mark));
+    dissemination::send(output, to, wire::DisseminationMessage::Parent(status));
 }
 
 /// Sends every child the changes it is missing.
@@ -217,6 +222,7 @@
     }
 }
 
+/// Sends a child the changes that have not been sent to it yet.
 fn update_child(
     state: &mut reducer::EngineState,
     to: SocketAddr,
--- a/crates/engine/src/dissemination/convergence.rs
+++ b/crates/engine/src/dissemination/convergence.rs
@@ -20,7 +20,7 @@
 /// Number of accepted versions whose convergence is tracked.
 const MAX_TRACKED_VERSIONS: usize = 4096;
 /// Keepalive periods after which another control's report expires.
-const TALLY_EXPIRY_KEEPALIVES: u32 = 3;
+const REPORT_EXPIRY_KEEPALIVES: u32 = 3;
 
 /// An accepted version and when it was in force everywhere.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 
 /// The last report received from another control.
 #[derive(Debug, Clone, PartialEq)]
-struct ReceivedTally {
+struct ControlReport {
     floor: ids::CatalogueVersion,
     fingerprint: wire_membership::ShortDigest,
     roster: IndexSet<wire_membership::ShortDigest>,
@@ -44,7 +44,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct ConvergenceState {
     versions: VecDeque<AcceptedVersion>,
-    tallies: IndexMap<ids::InstanceName, ReceivedTally>,
+    control_reports: IndexMap<ids::InstanceName, ControlReport>,
+    /// When this control last reported to the other controls, and what.
     last_sent_at: time::MonotonicTime,
     last_sent: Option<(ids::CatalogueVersion, wire_membership::ShortDigest)>,
 }
@@ -97,29 +98,29 @@
 }
 
 /// Handles another control's report.
-pub fn handle_tally(
+pub fn handle_control_report(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
-    tally: wire::SubtreeReport,
+    report: wire::SubtreeReport,
     output: &mut event::ReducerOutput,
 ) {
-    let tallies = &mut state.dissemination.convergence.tallies;
-    let previous = tallies.swap_remove(&from.instance);
-    let roster: IndexSet<wire_membership::ShortDigest> = match tally.roster {
+    let control_reports = &mut state.dissemination.convergence.control_reports;
+    let previous = control_reports.swap_remove(&from.instance);
+    let roster: IndexSet<wire_membership::ShortDigest> = match report.roster {
         Some(roster) => roster.into_iter().collect(),
         None => previous.map(|previous| previous.roster).unwrap_or_default(),
     };
-    if report::fingerprint(&roster) != tally.fingerprint {
+    if report::fingerprint(&roster) != report.fingerprint {
         let message = wire::DisseminationMessage::RosterWanted;
         dissemination::send(output, from.address, message);
     }
-    let received = ReceivedTally {
-        floor: tally.floor,
-        fingerprint: tally.fingerprint,
+    let received = ControlReport {
+        floor: report.floor,
+        fingerprint: report.fingerprint,
         roster,
         received_at: state.now,
     };
-    tallies.insert(from.instance.clone(), received);
+    control_reports.insert(from.instance.clone(), received);
     mark_converged(state);
 }
 
@@ -133,8 +134,9 @@
 pub fn tick(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let period = settings::millis(state.settings.tunables.dissemination.keepalive_ms);
     let now = state.now;
-    let tallies = &mut state.dissemination.convergence.tallies;
-    tallies.retain(|_, tally| now.since(tally.received_at) < period * TALLY_EXPIRY_KEEPALIVES);
+    let control_reports = &mut state.dissemination.convergence.control_reports;
+    control_reports
+        .retain(|_, report| now.since(report.received_at) < period * REPORT_EXPIRY_KEEPALIVES);
     let own = state.settings.identity.address;
     let other_controls: Vec<std::net::SocketAddr> = state
         .settings
@@ -146,21 +148,21 @@
     if other_controls.is_empty() {
         return;
     }
-    let mut tally = report::subtree(state);
-    let summary = (tally.floor, tally.fingerprint);
+    let mut own_report = report::subtree(state);
+    let summary = (own_report.floor, own_report.fingerprint);
     let convergence = &state.dissemination.convergence;
     let is_period_over = now.since(convergence.last_sent_at) >= period;
     if !is_period_over && convergence.last_sent == Some(summary) {
         return;
     }
     let sent_fingerprint = convergence.last_sent.map(|(_, fingerprint)| fingerprint);
-    if sent_fingerprint != Some(tally.fingerprint) {
-        tally.roster = Some(report::roster(state));
+    if sent_fingerprint != Some(own_report.fingerprint) {
+        own_report.roster = Some(report::roster(state));
     }
     state.dissemination.convergence.last_sent_at = now;
     state.dissemination.convergence.last_sent = Some(summary);
     for to in other_controls {
-        let message = wire::DisseminationMessage::Tally(tally.clone());
+        let message = wire::DisseminationMessage::Tally(own_report.clone());
         dissemination::send(output, to, message);
     }
 }
@@ -185,11 +187,11 @@
     }
     for child in state.dissemination.children.values() {
         difference ^= child.fingerprint;
-        floor = floor.min(child.floor);
+        floor = floor.min(child.subtree_floor);
     }
-    for tally in state.dissemination.convergence.tallies.values() {
-        difference ^= tally.fingerprint;
-        floor = floor.min(tally.floor);
+    for report in state.dissemination.convergence.control_reports.values() {
+        difference ^= report.fingerprint;
+        floor = floor.min(report.floor);
     }
     if nodes == 0 || difference != wire_membership::ShortDigest::default() {
         return;
@@ -262,13 +264,13 @@
         names.insert(child::name_digest(&own.instance));
     }
     for child in state.dissemination.children.values() {
-        if child.floor >= version {
+        if child.subtree_floor >= version {
             names.extend(child.roster.iter().copied());
         }
     }
-    for tally in state.dissemination.convergence.tallies.values() {
-        if tally.floor >= version {
-            names.extend(tally.roster.iter().copied());
+    for report in state.dissemination.convergence.control_reports.values() {
+        if report.floor >= version {
+            names.extend(report.roster.iter().copied());
         }
     }
     names
--- a/crates/engine/src/dissemination/floor.rs
+++ b/crates/engine/src/dissemination/floor.rs
@@ -25,10 +25,14 @@
 /// The version floor and the answers collected to determine it.
 #[derive(Debug, Clone, Default)]
 pub struct FloorState {
+    /// The floor, once it is known.
     minimum: Option<ids::CatalogueVersion>,
+    /// When the search for the floor began.
     started_at: Option<time::MonotonicTime>,
     next_query_at: time::MonotonicTime,
+    /// When nodes of the data centre were first asked.
     peers_asked_at: Option<time::MonotonicTime>,
+    /// Latest answer of each process, and whether the process is a control.
     answers: IndexMap<ids::InstanceName, (bool, wire::FloorAnswer)>,
     /// Processes that asked this control while it could not prove that it is current.
     pending_queries: IndexSet<SocketAddr>,
@@ -96,8 +100,8 @@
         return;
     }
     state.dissemination.floor.next_query_at = now + QUERY_PERIOD;
-    let contacts = state.settings.control.iter().copied();
-    let mut contacted: Vec<SocketAddr> = contacts.chain(state.membership.controls()).collect();
+    let configured = state.settings.control.iter().copied();
+    let mut contacted: Vec<SocketAddr> = configured.chain(state.membership.controls()).collect();
     contacted.sort_unstable();
     contacted.dedup();
     if now.since(started_at) >= wait_time {
@@ -112,6 +116,7 @@
     }
 }
 
+/// Returns the peer addresses of the nodes in the data centre that are not unreachable.
 fn local_peers(state: &reducer::EngineState) -> Vec<SocketAddr> {
     let data_centre = &state.settings.identity.data_centre;
     let identities = state
@@ -129,7 +134,7 @@
 }
 
 /// Handles a query for the version floor.
-pub fn handle_question(
+pub fn handle_query(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
     output: &mut event::ReducerOutput,
@@ -158,6 +163,7 @@
     }
 }
 
+/// Returns what this process can prove about the version that it reports.
 fn proof(state: &reducer::EngineState) -> wire::FloorProof {
     if state.settings.identity.is_control {
         if replication::is_proven_current(state) {
@@ -201,6 +207,7 @@
     }
 }
 
+/// Sets the floor if the answers so far suffice.
 fn decide(state: &mut reducer::EngineState) {
     let wait_time = settings::millis(state.settings.tunables.dissemination.floor_wait_ms);
     let floor = &state.dissemination.floor;
--- a/crates/engine/src/dissemination/parent.rs
+++ b/crates/engine/src/dissemination/parent.rs
@@ -70,11 +70,18 @@
     path: Vec<u32>,
     last_heard: time::MonotonicTime,
     last_keepalive_at: time::MonotonicTime,
+    /// Since when the parent's version has been older than the one here, or below the version
+    /// floor.
     stale_since: Option<time::MonotonicTime>,
+    /// Since when the parent has had no path to a control.
     unrooted_since: Option<time::MonotonicTime>,
+    /// When the next candidate may be asked.
     next_attempt: time::MonotonicTime,
+    /// Attempts since a parent last adopted this node.
     attempts: u32,
+    /// Processes named in a redirect, which are asked first.
     candidates: Vec<SocketAddr>,
+    /// Former parents, with the time until which each is avoided.
     avoided: IndexMap<SocketAddr, time::MonotonicTime>,
 }
 
@@ -140,6 +147,7 @@
     dissemination::send(output, to, wire::DisseminationMessage::Keepalive(report));
 }
 
+/// Asks the next candidate to adopt this node, or schedules another attempt if there is none.
 fn try_candidate(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     let is_tree_disabled = state.settings.tunables.dissemination.heads == 0;
     if is_tree_disabled || state.now < state.dissemination.parent.next_attempt {
@@ -155,6 +163,8 @@
     send_keepalive(state, address, output);
 }
 
+/// Returns the next candidate: a process named in a redirect, else in turn a control and a node of
+/// the data centre.
 fn next_candidate(state: &mut reducer::EngineState) -> Option<SocketAddr> {
     let own = state.settings.identity.address;
     let parent = &mut state.dissemination.parent;
@@ -203,8 +213,8 @@
         .map(|identity| identity.address)
         .collect();
     let seed = u64::from(table::centre_digest(data_centre));
-    let contacts = state.settings.control.iter().copied();
-    let mut controls: Vec<SocketAddr> = contacts.chain(state.membership.controls()).collect();
+    let configured = state.settings.control.iter().copied();
+    let mut controls: Vec<SocketAddr> = configured.chain(state.membership.controls()).collect();
     controls.sort_unstable();
     controls.dedup();
     controls.sort_by_key(|address| {
@@ -247,41 +257,42 @@
     parent.unrooted_since = None;
 }
 
-/// Handles a parent's answer to a keepalive.
-pub fn handle_mark(
+/// Updates the parent from its answer to a keepalive. Leaves it if it is a descendant of this node.
+pub fn update(
     state: &mut reducer::EngineState,
     from: &wire_membership::PeerIdentity,
-    mark: wire::ParentStatus,
+    status: wire::ParentStatus,
     output: &mut event::ReducerOutput,
 ) {
     let now = state.now;
     if state.dissemination.parent.address != Some(from.address) {
         return;
     }
-    if mark
+    if status
         .path
         .contains(&path_id(&state.settings.identity.instance))
     {
         return leave(state, LeaveReason::Loop, output);
     }
     let held = state.dissemination.version();
-    let is_stale = mark.held.version < held || !state.dissemination.floor.allows(mark.held.version);
+    let is_stale =
+        status.held.version < held || !state.dissemination.floor.allows(status.held.version);
     let parent = &mut state.dissemination.parent;
     let is_first = !parent.is_adopted;
     parent.is_adopted = true;
     parent.last_heard = now;
     parent.attempts = 0;
     parent.candidates.clear();
-    parent.unrooted_since = mark
+    parent.unrooted_since = status
         .path
         .is_empty()
         .then(|| parent.unrooted_since.unwrap_or(now));
     parent.stale_since = is_stale.then(|| parent.stale_since.unwrap_or(now));
-    parent.path = mark.path;
-    if is_first || mark.wants_roster {
+    parent.path = status.path;
+    if is_first || status.wants_roster {
         state.dissemination.last_report.request_roster();
     }
-    if mark.wants_roster {
+    if status.wants_roster {
         send_keepalive(state, from.address, output);
     }
 }
--- a/crates/engine/src/dissemination/report.rs
+++ b/crates/engine/src/dissemination/report.rs
@@ -44,7 +44,7 @@
 /// Returns the report for the subtree rooted at this process, without the roster.
 pub fn subtree(state: &reducer::EngineState) -> wire::SubtreeReport {
     let own = state.dissemination.version();
-    let floors = responsive_children(state).map(|child| child.floor);
+    let floors = responsive_children(state).map(|child| child.subtree_floor);
     let mut fingerprint = wire_membership::ShortDigest::default();
     if state.settings.identity.is_node {
         fingerprint ^= child::name_digest(&state.settings.identity.instance);
--- a/crates/engine/src/dissemination/version.rs
+++ b/crates/engine/src/dissemination/version.rs
@@ -21,7 +21,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct VersionHistory {
     steps: VecDeque<delta::DeltaStep>,
+    /// Encoded size of each step, in bytes.
     sizes: VecDeque<usize>,
+    /// Encoded size of the whole catalogue at a version, in bytes.
     snapshot_size: Option<(ids::CatalogueVersion, usize)>,
 }
 
