--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -116,7 +116,7 @@
             members: IndexMap::new(),
             revision: 0,
             silent_centres: IndexSet::new(),
-            buckets: vec![wire::ShortDigest::default(); table::BUCKETS],
+            buckets: vec![wire::ShortDigest::default(); table::BUCKET_COUNT],
             centre_contacts: IndexMap::new(),
             rumours: IndexSet::new(),
             suspicions: IndexMap::new(),
--- a/crates/engine/src/membership/gossip.rs
+++ b/crates/engine/src/membership/gossip.rs
@@ -30,8 +30,8 @@
 const INITIAL_JOIN_PAUSE: Duration = Duration::from_millis(100);
 /// Number of recently joined processes that are remembered.
 const MAX_RECENT_JOINS: usize = 64;
-/// Maximum number of records in a synchronization that are still spread as rumours.
-const MAX_SYNC_NEWS: usize = 4;
+/// Maximum number of records received by synchronization at once that are still spread as rumours.
+const MAX_SYNC_RUMOURS: usize = 4;
 /// Maximum number of suspicions that a probe repeats.
 const PROBE_SUSPICIONS: usize = 3;
 /// Number of gossip periods after the start for which a process sends more often. The members it
@@ -89,7 +89,7 @@
     wire::GossipMessage {
         table: state.membership.table_digest(),
         held: dissemination::version_summary(state),
-        ages: reach::ages(state),
+        ages: reach::centre_ages(state),
         ..wire::GossipMessage::default()
     }
 }
@@ -149,6 +149,7 @@
     }
 }
 
+/// Probes all partners once per gossip period.
 fn probe(state: &mut reducer::EngineState, output: &mut event::ReducerOutput) {
     if state.now < state.membership.timers.next_probe {
         return;
@@ -257,7 +258,7 @@
     gossip: wire::GossipMessage,
     output: &mut event::ReducerOutput,
 ) {
-    reach::merge_ages(state, &gossip.ages);
+    reach::merge_centre_ages(state, &gossip.ages);
     apply_records(state, from.address, gossip.records, output);
     for suspicion in gossip.suspicions {
         reach::apply_suspicion(state, suspicion);
@@ -295,7 +296,7 @@
     records: Vec<wire::MemberRecord>,
     output: &mut event::ReducerOutput,
 ) {
-    let is_small_batch = records.len() <= MAX_SYNC_NEWS;
+    let is_small_batch = records.len() <= MAX_SYNC_RUMOURS;
     let rumours_before = state.membership.rumours.clone();
     apply_records(state, from, records, output);
     if !is_small_batch {
--- a/crates/engine/src/membership/own.rs
+++ b/crates/engine/src/membership/own.rs
@@ -7,7 +7,7 @@
 use crate::{calls, event, membership, reducer, settings, timeline};
 
 impl membership::MembershipState {
-    /// Changes the own record and schedules it as a rumour.
+    /// Changes this process's own record and queues it as a rumour.
     pub fn publish(
         &mut self,
         change: impl FnOnce(&mut hazeltiller_wire::membership::MemberRecord),
@@ -43,8 +43,8 @@
     expires_at: time::MonotonicTime,
 }
 
-/// Handles a target's announcement. The own record is published only if the target's description
-/// changed.
+/// Handles a target's announcement. This process's record is published again only if the target's
+/// description changed.
 pub fn announce(
     state: &mut reducer::EngineState,
     announcement: membership::TargetAnnouncement,
@@ -216,6 +216,8 @@
     withdraw(state, name, output);
 }
 
+/// Remembers a removed target, so that its delayed announcements are ignored. `sequence` has the
+/// meaning of [`RemovedTarget::sequence`].
 fn record_removal(state: &mut reducer::EngineState, name: &ids::TargetName, sequence: Option<u64>) {
     let now = state.now;
     let retention = settings::millis(state.settings.tunables.membership.departed_ms);
@@ -271,8 +273,8 @@
     state.membership.publish(|_unchanged| {});
 }
 
-/// Handles a copy of the own record. A newer copy stems from an earlier run of this process whose
-/// clock was ahead, so the own incarnation is raised above it.
+/// Handles a copy of this process's own record. A newer copy stems from an earlier run of the
+/// process whose clock was ahead, so the incarnation of this run is raised above it.
 pub fn apply_own_copy(
     state: &mut reducer::EngineState,
     copy: &hazeltiller_wire::membership::MemberRecord,
--- a/crates/engine/src/membership/partners.rs
+++ b/crates/engine/src/membership/partners.rs
@@ -52,6 +52,7 @@
     };
 }
 
+/// Selects the partners: one successor for each ring, and the bridges to other data centres.
 fn choose(
     membership: &membership::MembershipState,
     ring_count: u64,
--- a/crates/engine/src/membership/reach.rs
+++ b/crates/engine/src/membership/reach.rs
@@ -114,7 +114,7 @@
 }
 
 /// Returns the time since each other data centre was last heard from.
-pub fn ages(state: &reducer::EngineState) -> Vec<wire::DataCentreAge> {
+pub fn centre_ages(state: &reducer::EngineState) -> Vec<wire::DataCentreAge> {
     let own = table::centre_digest(&state.settings.identity.data_centre);
     let centres = state.membership.centre_contacts.iter();
     centres
@@ -126,8 +126,8 @@
         .collect()
 }
 
-/// Merges a peer's times since the last contact with data centres. The own data centre is skipped.
-pub fn merge_ages(state: &mut reducer::EngineState, ages: &[wire::DataCentreAge]) {
+/// Merges a peer's times since the last contact with data centres. This process's own is skipped.
+pub fn merge_centre_ages(state: &mut reducer::EngineState, ages: &[wire::DataCentreAge]) {
     let own = table::centre_digest(&state.settings.identity.data_centre);
     for age in ages.iter().filter(|age| age.centre != own) {
         let age_us = Duration::from_millis(u64::from(age.age_ms)).as_micros() as u64;
@@ -203,6 +203,7 @@
     });
 }
 
+/// Suspects the partners that have left probes unanswered for too long.
 fn suspect_silent_partners(state: &mut reducer::EngineState) {
     let limit = settings::millis(state.settings.tunables.membership.suspect_ms);
     let now = state.now;
--- a/crates/engine/src/membership/sync.rs
+++ b/crates/engine/src/membership/sync.rs
@@ -25,6 +25,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct SyncState {
     last_started_at: Option<time::MonotonicTime>,
+    /// Peer to ask for the next page once the records of this page have arrived.
     next_page_peer: Option<SocketAddr>,
 }
 
@@ -161,6 +162,7 @@
     send_pages(records.collect(), to, output);
 }
 
+/// Sends records in messages of bounded size.
 fn send_pages(records: Vec<wire::MemberRecord>, to: SocketAddr, output: &mut event::ReducerOutput) {
     for page in records.chunks(MAX_MESSAGE_RECORDS) {
         send(output, to, wire::MembershipMessage::Records(page.to_vec()));
--- a/crates/engine/src/membership/table.rs
+++ b/crates/engine/src/membership/table.rs
@@ -11,7 +11,7 @@
 use crate::{membership, reducer};
 
 /// Number of buckets of the table whose digests are compared separately.
-pub const BUCKETS: usize = 64;
+pub const BUCKET_COUNT: usize = 64;
 
 /// Another member, as known to this process.
 #[derive(Debug, Clone, PartialEq)]
@@ -97,14 +97,15 @@
     second ^ (second >> 31)
 }
 
+/// Returns the digest of a record's version, which the bucket digests combine by exclusive or.
 fn record_digest(name: wire::ShortDigest, record: &wire::MemberRecord) -> wire::ShortDigest {
     let (incarnation, sequence) = record_version(record);
     wire::ShortDigest(mix(name.0 ^ mix(incarnation.0) ^ mix(!sequence)))
 }
 
-/// Returns the bucket of a member.
+/// Returns the index of the bucket that a member belongs to, by the digest of its name.
 pub fn bucket(name: wire::ShortDigest) -> usize {
-    (name.0 % BUCKETS as u64) as usize
+    (name.0 % BUCKET_COUNT as u64) as usize
 }
 
 impl membership::MembershipState {
@@ -117,8 +118,8 @@
         digest
     }
 
-    /// Removes the own record from the digests, or adds it back. Does nothing once this process has
-    /// left.
+    /// Removes this process's own record from the digests, or adds it back. Does nothing once this
+    /// process has left.
     pub fn toggle_own_digest(&mut self) {
         if self.own.has_left {
             return;
@@ -127,6 +128,7 @@
         self.buckets[bucket(name)] ^= record_digest(name, &self.own);
     }
 
+    /// Removes a member's record from the digests, or adds it back.
     fn toggle_digest(&mut self, name: &ids::InstanceName) {
         let Some(member) = self.members.get(name) else {
             return;
