--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -274,7 +274,7 @@
             let opened = store_claims::ClaimFile::open(folder, is_new_store);
             let (file, recovered) = opened.context(StoreSnafu)?;
             let acceptor =
-                ledger::acceptor::AcceptorState::recover(recovered.claims, recovered.standing);
+                ledger::acceptor::AcceptorState::recover(recovered.claims, recovered.completeness);
             state.ledger.acceptor = Some(acceptor);
             Some(file)
         }
--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -32,7 +32,7 @@
     /// Claims by request, in the order in which they were stored.
     pub claims: IndexMap<ledger::RequestDigest, ledger::StoredClaim>,
     /// Whether claims that were reported as durable can be missing.
-    pub standing: ledger::ClaimsCompleteness,
+    pub completeness: ledger::ClaimsCompleteness,
 }
 
 /// Storage of claims. A trait, so that tests can substitute a failing disk.
@@ -71,12 +71,12 @@
             Err(source) => return Err(source).context(disk_context("reading")),
         };
         if bytes.is_empty() {
-            let standing = if is_folder_new {
+            let completeness = if is_folder_new {
                 ledger::ClaimsCompleteness::Unproven
             } else {
                 ledger::ClaimsCompleteness::Lost
             };
-            return Self::create(folder, standing);
+            return Self::create(folder, completeness);
         }
         match read_claims(&path, &bytes) {
             Ok((recovered, valid_bytes)) => {
@@ -106,7 +106,7 @@
 
     fn create(
         folder: &Path,
-        standing: ledger::ClaimsCompleteness,
+        completeness: ledger::ClaimsCompleteness,
     ) -> Result<(Self, RecoveredClaims), error::StoreError> {
         let path = folder.join(CLAIMS_FILE);
         let file = fs::File::create(&path).context(error::DiskSnafu {
@@ -117,9 +117,15 @@
             folder: folder.into(),
             file,
         };
-        store.rewrite(&[ledger::ClaimRecord::Standing(standing)])?;
+        store.rewrite(&[ledger::ClaimRecord::Standing(completeness)])?;
         let claims = IndexMap::new();
-        Ok((store, RecoveredClaims { claims, standing }))
+        Ok((
+            store,
+            RecoveredClaims {
+                claims,
+                completeness,
+            },
+        ))
     }
 }
 
@@ -238,7 +244,7 @@
 fn apply(recovered: &mut RecoveredClaims, record: ledger::ClaimRecord) {
     let claims = &mut recovered.claims;
     match record {
-        ledger::ClaimRecord::Standing(standing) => recovered.standing = standing,
+        ledger::ClaimRecord::Standing(completeness) => recovered.completeness = completeness,
         ledger::ClaimRecord::Kept(request, claim) => {
             let is_done = false;
             claims.insert(request, ledger::StoredClaim { claim, is_done });
--- a/crates/store/tests/claims.rs
+++ b/crates/store/tests/claims.rs
@@ -20,7 +20,7 @@
 
 fn write_claims(folder: &Path) {
     let (mut file, recovered) = claims::ClaimFile::open(folder, true).expect("the folder is empty");
-    assert_eq!(recovered.standing, ClaimsCompleteness::Unproven);
+    assert_eq!(recovered.completeness, ClaimsCompleteness::Unproven);
     assert!(recovered.claims.is_empty());
     file.append(&[ClaimRecord::Standing(ClaimsCompleteness::Whole)])
         .expect("the write succeeds");
@@ -38,7 +38,7 @@
     let numbers = recovered.claims.keys().map(|request| request.0[0]);
     (
         numbers.collect(),
-        recovered.standing == ClaimsCompleteness::Whole,
+        recovered.completeness == ClaimsCompleteness::Whole,
     )
 }
 
