--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -24,6 +24,7 @@
 const DAMAGED_FILE: &str = "claims.damaged";
 /// First bytes of the file: its type and format version.
 const FILE_MAGIC: &[u8; 8] = b"hzclaim1";
+/// Size of a record header: the length of the record and its checksum, four bytes each.
 const RECORD_HEADER_BYTES: usize = 8;
 
 /// Contents of the file when it was opened.
@@ -180,6 +181,8 @@
     bytes
 }
 
+/// Applies the records of a file. Returns the claims, and the offset of the end of the last
+/// complete record.
 fn read_claims(path: &Path, bytes: &[u8]) -> Result<(RecoveredClaims, usize), error::StoreError> {
     let damaged = |offset: usize, message: &str| error::StoreError::Damaged {
         path: path.into(),
@@ -241,6 +244,7 @@
         .flatten()
 }
 
+/// Applies a record to the claims before it.
 fn apply(recovered: &mut RecoveredClaims, record: ledger::ClaimRecord) {
     let claims = &mut recovered.claims;
     match record {
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -143,6 +143,7 @@
             .context(disk_context("writing", &path))
     }
 
+    /// Writes a snapshot, and the log without the entries that it covers.
     fn install_snapshot(&mut self, snapshot: &wire::LogSnapshot) -> StoreResult<()> {
         write_snapshot(&self.folder, snapshot)?;
         let path = self.folder.join(LOG_FILE);
@@ -162,6 +163,7 @@
         self.replace_log(batch.hard.unwrap_or_default(), &batch.entries)
     }
 
+    /// Replaces the log file and opens the new one for appending.
     fn replace_log(
         &mut self,
         hard: wire::HardState,
@@ -315,6 +317,7 @@
     Ok(content)
 }
 
+/// Applies a record to the log content before it.
 fn apply_record(
     path: &Path,
     content: &mut LogContent,
@@ -338,7 +341,8 @@
     Ok(())
 }
 
-/// Returns the entries that follow a snapshot; none if the snapshot belongs to a different history.
+/// Returns the entries that follow a snapshot; none if the log does not contain the snapshot's last
+/// entry in the same term.
 fn entries_after(
     path: &Path,
     mut entries: Vec<wire::LogEntry>,
@@ -352,7 +356,7 @@
     }
     if first > mark.position {
         let message = format!(
-            "log positions {} to {first} are missing",
+            "log positions from {} on are missing; the first one present is {first}",
             mark.position.next()
         );
         return Err(record::damaged(path, record::FILE_HEADER_BYTES, message));
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -50,8 +50,8 @@
 /// Writes batches to a new folder and closes it.
 fn write_folder(batches: Vec<replication::PersistBatch>) -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a temporary folder is created");
-    let (mut store, _, was_there) = open(folder.path()).expect("the folder opens");
-    assert!(!was_there);
+    let (mut store, _, existed) = open(folder.path()).expect("the folder opens");
+    assert!(!existed);
     store.write(batches).expect("the write succeeds");
     folder
 }
@@ -78,8 +78,8 @@
         batch(vec![entry(1, 1), entry(2, 1), entry(3, 1)]),
         second,
     ]);
-    let (_store, recovered, was_there) = open(folder.path()).expect("the folder opens");
-    assert!(was_there);
+    let (_store, recovered, existed) = open(folder.path()).expect("the folder opens");
+    assert!(existed);
     assert_eq!(recovered.hard, hard(3));
     assert_eq!(recovered.entries, [entry(1, 1), entry(2, 3)]);
 }
@@ -214,7 +214,7 @@
     fs::remove_file(&path).expect("the file exists");
 }
 
-/// Returns a full-rewrite batch: a snapshot at a position, and the entries after it.
+/// Returns a full-rewrite batch: hard state, a snapshot at a position, and the entries after it.
 fn full_rewrite(
     position: u64,
     term: u64,
@@ -285,7 +285,10 @@
         fs::write(&path, &log[..length]).expect("the folder is writable");
         let (_, recovered, _) = open(folder.path()).expect("the log may start before the snapshot");
         assert_eq!(
-            recovered.snapshot.as_ref().map(|one| one.mark.position.0),
+            recovered
+                .snapshot
+                .as_ref()
+                .map(|snapshot| snapshot.mark.position.0),
             Some(4)
         );
         positions(&recovered)
@@ -297,10 +300,10 @@
         "the last record is incomplete"
     );
     let header = record::FILE_HEADER_BYTES + record::RECORD_HEADER_BYTES;
-    let first =
+    let first_body_bytes =
         u32::from_le_bytes(log[16..20].try_into().expect("the slice has four bytes")) as usize;
     assert!(
-        remaining_positions(header + first).is_empty(),
+        remaining_positions(header + first_body_bytes).is_empty(),
         "only the hard state remains"
     );
 }
