--- a/crates/engine/tests/dissemination.rs
+++ b/crates/engine/tests/dissemination.rs
@@ -40,6 +40,7 @@
     fleet.accept(entries::put_slots("registru", slots), &ALL_CONTROLS)
 }
 
+/// Asserts that the named nodes reach the latest version within a time.
 fn assert_settles(fleet: &mut reducers::ReducerFleet, names: &[String], timeout: Duration) {
     let has_converged = fleet.run_until(timeout, |fleet| fleet.has_converged(names));
     assert!(
@@ -220,13 +221,17 @@
     change_slots(&mut fleet, 3);
     assert_settles(&mut fleet, &others, Duration::from_secs(3));
     fleet.run(Duration::from_secs(15));
-    let fed = fleet.processes.values().filter(|process| {
+    let relay_parents = fleet.processes.values().filter(|process| {
         let children = &process.state.dissemination.children;
         children
             .values()
             .any(|child| child.identity.instance.as_str() == relay)
     });
-    assert_eq!(fed.count(), 0, "no process has the silent relay as a child");
+    assert_eq!(
+        relay_parents.count(),
+        0,
+        "no process has the silent relay as a child"
+    );
     let view = convergence::view(&fleet.processes["c-0"].state, fleet.accepted.version);
     let view = view.expect("the control has the version");
     let behind: Vec<&str> = view
--- a/crates/engine/tests/replication/network.rs
+++ b/crates/engine/tests/replication/network.rs
@@ -18,6 +18,7 @@
     pub(crate) state: reducer::EngineState,
     pub(crate) is_running: bool,
     pub(crate) disk: disk::FakeDisk,
+    /// Version after the latest step, to check that it never decreases.
     version: ids::CatalogueVersion,
 }
 
@@ -41,7 +42,9 @@
     plan: GroupPlan,
     proposals: u64,
     replicas: u64,
+    /// The leader of each term, to check that there is only one.
     leaders: IndexMap<ids::LeaderTerm, ids::ReplicaId>,
+    /// All committed entries, to check that none changes.
     committed: IndexMap<ids::LogPosition, wire::LogEntry>,
 }
 
@@ -165,8 +168,9 @@
 
     /// The running control that leads in the latest term.
     pub(crate) fn leader(&self) -> Option<usize> {
-        let up = (0..self.controls.len()).filter(|index| self.controls[*index].is_running);
-        up.filter(|index| self.log(*index).leading_term().is_some())
+        let running = (0..self.controls.len()).filter(|index| self.controls[*index].is_running);
+        running
+            .filter(|index| self.log(*index).leading_term().is_some())
             .max_by_key(|index| self.log(*index).leading_term())
     }
 
@@ -279,6 +283,8 @@
         }
     }
 
+    /// Delivers a message in transit, unless its link is blocked. Without `is_removed` it stays in
+    /// transit and may be delivered again.
     pub(crate) fn deliver(&mut self, position: usize, is_removed: bool) {
         let Some(message) = self.messages.get(position) else {
             return;
@@ -301,7 +307,9 @@
         }
     }
 
-    /// Proposes a new entry and returns the number of the proposal.
+    /// Proposes a new class entry and returns the number of the proposal. With `expects` 0 the
+    /// entries that it refers to are added as well; with an id that starts with `large` the change
+    /// also carries an owner with 9000 operators.
     pub(crate) fn propose(&mut self, index: usize, id: &str, expects: u64) -> u64 {
         let class = json!({"kind": "class", "name": id, "owner": "registru", "class": "counter"});
         let mut put = vec![class];
