--- a/crates/engine/src/replication.rs
+++ b/crates/engine/src/replication.rs
@@ -131,7 +131,7 @@
         /// The faults found by validation; empty when the reason is not the content.
         faults: Vec<change::CatalogueFault>,
     },
-    /// This replica is not the leader. Carries the peer address of the leader.
+    /// This replica does not lead. Carries the peer address of the leader.
     Elsewhere(SocketAddr),
     /// The outcome is not known: the change may still be committed later.
     Unknown,
@@ -177,24 +177,27 @@
     hard_state: wire::HardState,
     log: window::LogWindow,
     state_machine: state_machine::StateMachine,
+    /// Position of the last committed entry, which is also the last one applied.
     commit: ids::LogPosition,
     role: ReplicaRole,
-    /// Peer address of the current leader, if known.
+    /// Peer address of the leader, if another replica is known to lead.
     leader: Option<SocketAddr>,
+    /// When a message last came from the leader.
     leader_heard_at: Option<time::MonotonicTime>,
     /// Latest time at which a majority is known to have confirmed that this replica was up to date.
     proven_at: Option<time::MonotonicTime>,
-    /// When an election starts unless the leader is heard before.
+    /// When this replica next stands for election, unless it hears from a leader before.
     election_at: Option<time::MonotonicTime>,
     write_queue: persist::WriteQueue,
-    /// Replicas that introduced themselves, by peer address.
+    /// Latest introductions received while the group is bootstrapped, by peer address.
     introductions: IndexMap<SocketAddr, group::IntroducedReplica>,
-    /// When this replica last introduced itself.
+    /// When this replica last introduced itself to the other controls.
     introduced_at: Option<time::MonotonicTime>,
     /// Set from a failed write until the full rewrite is synced. Meanwhile the replica sends no
     /// message and takes no proposal.
     store_failure: Option<failed_store::FailedStore>,
-    /// Rollout orders that were in the log when the process started.
+    /// Rollout orders that were in the log when the process started, by the catalogue version that
+    /// each produced.
     recovered_orders: IndexSet<ids::CatalogueVersion>,
 }
 
@@ -271,8 +274,8 @@
         state
     }
 
-    /// Returns whether a rollout order was in the log when the process started. Its age is then
-    /// unknown, since monotonic time does not survive a restart.
+    /// Whether a rollout order was in the log when the process started. Its age is then unknown,
+    /// since monotonic time does not survive a restart.
     pub fn is_recovered(&self, order: ids::CatalogueVersion) -> bool {
         self.recovered_orders.contains(&order)
     }
@@ -303,10 +306,10 @@
         to: Option<ids::ReplicaId>,
         body: wire::ReplicationBody,
     ) -> message::PeerMessage {
-        self.message_in(self.hard_state.term, to, body)
+        self.message_in_term(self.hard_state.term, to, body)
     }
 
-    fn message_in(
+    fn message_in_term(
         &self,
         term: ids::LeaderTerm,
         to: Option<ids::ReplicaId>,
@@ -382,7 +385,7 @@
     run_step(state, output, |replication, context| match event {
         ReplicationEvent::Propose(proposal) => replication.propose(context, *proposal),
         ReplicationEvent::ReadRevision(number) => replication.read_revision(context, number),
-        ReplicationEvent::AdvanceRollout(step) => replication.advance_rollout(context, *step),
+        ReplicationEvent::AdvanceRollout(next) => replication.advance_rollout(context, *next),
         ReplicationEvent::ChangeGroup { number, change } => {
             replication.change_group(context, number, &change);
         }
