--- a/src/changes.rs
+++ b/src/changes.rs
@@ -12,8 +12,8 @@
 
 /// Time between two polls of the convergence of a change.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
-/// Longest wait for convergence. The change stays accepted after it.
-const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Timeout of the wait for convergence. A change stays accepted when it expires.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Options of the commands that send a change.
 #[derive(Debug, Clone, Bpaf)]
@@ -153,7 +153,7 @@
 ) -> Result<(), session::CommandError> {
     let started = Instant::now();
     let mut printed = None;
-    while started.elapsed() < MAX_WAIT {
+    while started.elapsed() < CONVERGENCE_TIMEOUT {
         let document = fetch_convergence(session, version).await?;
         let progress = (document.nodes_in_force, document.nodes_known);
         if printed != Some(progress) {
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -58,12 +58,12 @@
             Some(base) => base,
             None => changes::fetch_revision(&self.session).await?.label,
         };
-        let mark = change::CatalogueReplacement {
+        let replacement = change::CatalogueReplacement {
             label,
             base,
             document: session::read_file(&self.file)?,
         };
-        let request = change::ChangeRequest::replacement(mark, set.put);
+        let request = change::ChangeRequest::replacement(replacement, set.put);
         changes::send_request(&self.session, &self.options, request).await
     }
 }
--- a/src/commands/control.rs
+++ b/src/commands/control.rs
@@ -52,9 +52,11 @@
     async fn run(self) -> Result<(), session::CommandError> {
         match self {
             Self::List { session } => list(&session).await,
-            Self::Add { session, instance } => change(&session, json!({"add": instance})).await,
+            Self::Add { session, instance } => {
+                change_voters(&session, json!({"add": instance})).await
+            }
             Self::Remove { session, instance } => {
-                change(&session, json!({"remove": instance})).await
+                change_voters(&session, json!({"remove": instance})).await
             }
         }
     }
@@ -76,7 +78,7 @@
     Ok(())
 }
 
-async fn change(
+async fn change_voters(
     session: &session::SessionOptions,
     change: Value,
 ) -> Result<(), session::CommandError> {
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -50,8 +50,8 @@
 }
 
 impl LoadCommand {
-    /// Runs the command. The exit code is 1 if the log of a stand-in could not be read, or if a
-    /// request was lost, doubled, cut, crossed, wrongly refused or answered without a run.
+    /// Runs the command. The exit code is 1 if the log of a stand-in could not be read, or if
+    /// the verdict counts a faulty request.
     pub async fn execute(self) -> ExitCode {
         let report = match self.run().await {
             Ok(report) => report,
--- a/src/commands/rollout.rs
+++ b/src/commands/rollout.rs
@@ -110,13 +110,17 @@
                     to,
                     within_ms,
                 };
-                request(&session, &options, rollout::RolloutRequest::Start(order)).await
+                send_rollout_request(&session, &options, rollout::RolloutRequest::Start(order))
+                    .await
             }
             Self::Abort {
                 session,
                 options,
                 service,
-            } => request(&session, &options, rollout::RolloutRequest::Abort(service)).await,
+            } => {
+                send_rollout_request(&session, &options, rollout::RolloutRequest::Abort(service))
+                    .await
+            }
             Self::Show {
                 session,
                 service: None,
@@ -134,7 +138,7 @@
     }
 }
 
-async fn request(
+async fn send_rollout_request(
     session: &session::SessionOptions,
     options: &changes::ChangeOptions,
     request: rollout::RolloutRequest,
--- a/src/session.rs
+++ b/src/session.rs
@@ -157,7 +157,7 @@
     ) -> Result<Response<Bytes>, CommandError> {
         let token = self.token()?;
         let mut failures = Vec::new();
-        let mut may_be_received = false;
+        let mut may_have_been_received = false;
         for address in &self.operators {
             let mut request = Request::new(Full::new(Bytes::from(body.clone())));
             *request.method_mut() = method.clone();
@@ -170,12 +170,12 @@
             match client::exchange(*address, request).await {
                 Ok(response) => return Ok(response),
                 Err(error) => {
-                    may_be_received |= method == Method::POST && !error.is_unsent();
+                    may_have_been_received |= method == Method::POST && !error.is_unsent();
                     failures.push(format!("{address}: {error}"));
                 }
             }
         }
-        let exit = if may_be_received {
+        let exit = if may_have_been_received {
             EXIT_UNKNOWN
         } else {
             EXIT_REFUSED
