--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -103,7 +103,7 @@
     let (parts, body) = request.into_parts();
     let body = body.collect().await;
     let Ok(body) = body.map(http_body_util::Collected::to_bytes) else {
-        return text_response(StatusCode::BAD_REQUEST, "the request broke off\n");
+        return text_response(StatusCode::BAD_REQUEST, "the request body is truncated\n");
     };
     let behaviour = target.behaviour();
     let slots = behaviour.real_slots.unwrap_or(target.settings().slots);
@@ -111,7 +111,7 @@
         return text_response(StatusCode::SERVICE_UNAVAILABLE, "no slot is free\n");
     };
     time::sleep(behaviour.latency(target.since_start())).await;
-    if requests_crash(&parts) {
+    if is_crash_request(&parts) {
         run.end(runs::RunEnd::Crashed);
         target.crash_as_scripted(&behaviour);
         return std::future::pending().await;
@@ -159,7 +159,7 @@
         .and_then(|value| value.to_str().ok())
 }
 
-fn requests_crash(parts: &hyper::http::request::Parts) -> bool {
+fn is_crash_request(parts: &hyper::http::request::Parts) -> bool {
     parts.headers.contains_key(behaviour::CRASH_HEADER)
         || parts.uri.path().contains(behaviour::CRASH_MARKER)
 }
@@ -192,7 +192,10 @@
         builder = builder.header(behaviour::HOPS_HEADER, hops.saturating_sub(1));
     }
     let Ok(request) = builder.body(Full::new(body)) else {
-        return (StatusCode::BAD_GATEWAY, "the next path is no path\n".into());
+        return (
+            StatusCode::BAD_GATEWAY,
+            "the path for the next service is not valid\n".into(),
+        );
     };
     match client::exchange(next.callers, request).await {
         Ok(response) => {
@@ -213,7 +216,8 @@
     text
 }
 
-/// State of a response body that is being streamed. The pieces are in reverse order.
+/// State of a response body that is being streamed. The pieces are in reverse order, so that the
+/// next one is popped from the end.
 struct BodyStream {
     pieces: Vec<Bytes>,
     pause: Duration,
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -53,10 +53,10 @@
             kind,
             planned: started + planned,
         };
-        let (client, records) = (Arc::clone(&client), Arc::clone(&collector));
+        let (client, task_collector) = (Arc::clone(&client), Arc::clone(&collector));
         calls.spawn(async move {
             let record = client.perform(call).await;
-            records.add(planned, record);
+            task_collector.add(planned, record);
         });
         while let Some(ended) = calls.try_join_next() {
             ended.expect("a call neither panics nor is cancelled");
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -82,7 +82,7 @@
     /// Whether a response belonged to another request.
     pub is_crossed: bool,
     /// Number of truncated responses.
-    pub cuts: u32,
+    pub truncated_responses: u32,
 }
 
 /// Sends the requests of a load.
@@ -121,7 +121,7 @@
             end: SendEnd::NotConnected,
             is_never_run: true,
             is_crossed: false,
-            cuts: 0,
+            truncated_responses: 0,
         };
         let mut pause = self.settings.resend_pause;
         loop {
@@ -130,7 +130,7 @@
             record.sends += 1;
             record.is_never_run &= end.is_not_run();
             record.is_crossed |= is_crossed;
-            record.cuts += u32::from(end == SendEnd::Cut);
+            record.truncated_responses += u32::from(end == SendEnd::Cut);
             let is_safe = kind.is_idempotent() || kind.keyed || record.is_never_run;
             let is_done = end.is_final() || !is_safe || record.sends >= self.settings.sends;
             record.end = end;
--- a/crates/standin/src/load/collect.rs
+++ b/crates/standin/src/load/collect.rs
@@ -15,7 +15,9 @@
 const MAX_POINTS: u32 = 120;
 const MIN_POINT_DURATION: Duration = Duration::from_millis(250);
 const MAX_LATENCY: Duration = Duration::from_secs(600);
-const HISTOGRAM_DIGITS: u8 = 3;
+/// Significant decimal digits of the latencies by kind and class.
+const REPORT_DIGITS: u8 = 3;
+/// Significant decimal digits of the latencies in the time series.
 const SERIES_DIGITS: u8 = 2;
 
 /// Progress of a load.
@@ -85,7 +87,7 @@
             resends: 0,
             answered: 0,
             value: 0,
-            latency: histogram(HISTOGRAM_DIGITS),
+            latency: histogram(REPORT_DIGITS),
         }
     }
 }
--- a/crates/standin/src/load/plot.rs
+++ b/crates/standin/src/load/plot.rs
@@ -10,11 +10,11 @@
 
 use crate::load::collect;
 
-const WIDTH: u32 = 960;
-const HEIGHT: u32 = 720;
-const CAPTION_SIZE: u32 = 20;
-const LABEL_SIZE: u32 = 40;
-const LEGEND_LENGTH: i32 = 16;
+const WIDTH_PX: u32 = 960;
+const HEIGHT_PX: u32 = 720;
+const CAPTION_SIZE_PX: u32 = 20;
+const LABEL_SIZE_PX: u32 = 40;
+const LEGEND_LENGTH_PX: i32 = 16;
 
 /// Points of a line: time in seconds and value.
 pub type PlotLine = Vec<(f64, f64)>;
@@ -53,9 +53,9 @@
 
     /// Writes the plot to a file.
     pub fn write(&self, path: &Path) -> Result<(), Box<dyn Error>> {
-        let root = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
+        let root = SVGBackend::new(path, (WIDTH_PX, HEIGHT_PX)).into_drawing_area();
         root.fill(&WHITE)?;
-        let (upper, lower) = root.split_vertically(HEIGHT / 2);
+        let (upper, lower) = root.split_vertically(HEIGHT_PX / 2);
         draw(&upper, "p99 latency, ms", &self.latency)?;
         draw(&lower, "goodput per second", &self.goodput)?;
         root.present()?;
@@ -74,10 +74,10 @@
     let end = points().fold(1.0, |end: f64, (at, _)| end.max(*at));
     let max_value = points().fold(1.0, |highest: f64, (_, value)| highest.max(*value));
     let mut chart = ChartBuilder::on(area)
-        .caption(caption, ("sans-serif", CAPTION_SIZE))
+        .caption(caption, ("sans-serif", CAPTION_SIZE_PX))
         .margin(8)
-        .x_label_area_size(LABEL_SIZE)
-        .y_label_area_size(LABEL_SIZE)
+        .x_label_area_size(LABEL_SIZE_PX)
+        .y_label_area_size(LABEL_SIZE_PX)
         .build_cartesian_2d(0.0..end, 0.0..max_value * 1.05)?;
     chart.configure_mesh().x_desc("seconds").draw()?;
     for (index, (class, line)) in lines.iter().enumerate() {
@@ -88,7 +88,7 @@
                 colour.stroke_width(2),
             ))?
             .label(class.clone())
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LENGTH, y)], colour));
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LENGTH_PX, y)], colour));
     }
     chart
         .configure_series_labels()
--- a/crates/standin/src/load/verdict.rs
+++ b/crates/standin/src/load/verdict.rs
@@ -109,7 +109,7 @@
         let faults = [
             (&mut verdict.lost, is_lost(&record.end)),
             (&mut verdict.doubled, runs > 1 && !kind.is_idempotent()),
-            (&mut verdict.cut, record.cuts > 0),
+            (&mut verdict.cut, record.truncated_responses > 0),
             (&mut verdict.crossed, record.is_crossed),
             (
                 &mut verdict.wrongly_refused,
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -140,7 +140,7 @@
             is_never_run: end.is_not_run(),
             end: end.clone(),
             is_crossed: false,
-            cuts: 0,
+            truncated_responses: 0,
         };
         let run = |number| runs::RunRecord {
             method: "GET".into(),
