--- a/crates/testkit/src/reducers.rs
+++ b/crates/testkit/src/reducers.rs
@@ -30,7 +30,7 @@
 /// Predicate over sender and receiver that selects the messages to be dropped.
 pub type LinkFilter = Box<dyn Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool>;
 
-/// Number of frames and bytes by reason.
+/// Number of frames and bytes by traffic category.
 pub type ByteCounts = IndexMap<message::TrafficCategory, (u64, u64)>;
 
 /// Simulated process with one reducer.
@@ -58,7 +58,7 @@
 }
 
 struct QueuedDelivery {
-    at: u64,
+    at_micros: u64,
     order: u64,
     to: SocketAddr,
     /// Start of the process that it is meant for; `None` for any.
@@ -68,7 +68,7 @@
 
 impl PartialEq for QueuedDelivery {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at_micros, self.order) == (other.at_micros, other.order)
     }
 }
 
@@ -82,7 +82,7 @@
 
 impl Ord for QueuedDelivery {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at_micros, self.order).cmp(&(other.at_micros, other.order))
     }
 }
 
@@ -108,7 +108,7 @@
     last_delivery: IndexMap<(SocketAddr, SocketAddr), u64>,
     random: ChaCha8Rng,
     /// Time since the start of the simulation, in microseconds.
-    now: u64,
+    now_micros: u64,
     order: u64,
     start_count: u64,
 }
@@ -141,7 +141,7 @@
             queue: BinaryHeap::new(),
             last_delivery: IndexMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
-            now: 0,
+            now_micros: 0,
             order: 0,
             start_count: 0,
         };
@@ -197,7 +197,7 @@
 
     fn new_state(&mut self, mut identity: membership::PeerIdentity) -> reducer::EngineState {
         self.start_count += 1;
-        let started = FIRST_INCARNATION + self.now / 1000;
+        let started = FIRST_INCARNATION + self.now_micros / 1000;
         identity.incarnation = ids::IncarnationNumber(started);
         let settings = settings::EngineSettings {
             identity,
@@ -224,7 +224,7 @@
         process.is_running = true;
         process.start_number = start_number;
         self.queue_at(
-            self.now + tick_offset,
+            self.now_micros + tick_offset,
             to,
             Some(start_number),
             Delivery::Tick,
@@ -264,7 +264,7 @@
 
     /// Returns the time since the start of the simulation.
     pub fn now(&self) -> Duration {
-        Duration::from_micros(self.now)
+        Duration::from_micros(self.now_micros)
     }
 
     /// Accepts a change on behalf of the control group and informs `controls` of it; returns the
@@ -278,13 +278,13 @@
         let committed = dissemination::CommittedVersion {
             state: self.accepted.clone(),
             step: delta::DeltaStep { term, set },
-            accepted_at_ms: self.now / 1000,
+            accepted_at_ms: self.now_micros / 1000,
         };
         for name in controls {
             let to = self.process(name).state.settings.identity.address;
             let event = dissemination::DisseminationEvent::Committed(committed.clone());
             self.queue_at(
-                self.now,
+                self.now_micros,
                 to,
                 None,
                 Delivery::Event(Box::new(event::Event::Dissemination(event))),
@@ -296,22 +296,22 @@
     /// Delivers an event to a process at the current time.
     pub fn inject(&mut self, name: &str, event: event::Event) {
         let to = self.process(name).state.settings.identity.address;
-        self.queue_at(self.now, to, None, Delivery::Event(Box::new(event)));
+        self.queue_at(self.now_micros, to, None, Delivery::Event(Box::new(event)));
     }
 
     /// Runs the simulation for a time.
     pub fn run(&mut self, span: Duration) {
-        let end = self.now + span.as_micros() as u64;
+        let end = self.now_micros + span.as_micros() as u64;
         while let Some(Reverse(next)) = self.queue.peek()
-            && next.at <= end
+            && next.at_micros <= end
         {
             let Some(Reverse(next)) = self.queue.pop() else {
                 break;
             };
-            self.now = next.at;
+            self.now_micros = next.at_micros;
             self.deliver(next);
         }
-        self.now = end;
+        self.now_micros = end;
     }
 
     /// Runs the simulation until a condition holds, for at most `timeout`; returns whether it
@@ -354,10 +354,16 @@
         self.processes[name].events
     }
 
-    fn queue_at(&mut self, at: u64, to: SocketAddr, start_number: Option<u64>, delivery: Delivery) {
+    fn queue_at(
+        &mut self,
+        at_micros: u64,
+        to: SocketAddr,
+        start_number: Option<u64>,
+        delivery: Delivery,
+    ) {
         self.order += 1;
         let queued = QueuedDelivery {
-            at,
+            at_micros,
             order: self.order,
             to,
             start_number,
@@ -368,7 +374,7 @@
 
     fn deliver(&mut self, queued: QueuedDelivery) {
         let name = self.names[&queued.to].clone();
-        let now = time::MonotonicTime(self.now);
+        let now = time::MonotonicTime(self.now_micros);
         let process = &mut self.processes[&name];
         let is_stale = queued
             .start_number
@@ -378,7 +384,7 @@
         }
         let event = match queued.delivery {
             Delivery::Tick => {
-                let next = self.now + TICK_MICROS;
+                let next = self.now_micros + TICK_MICROS;
                 self.queue_at(next, queued.to, queued.start_number, Delivery::Tick);
                 event::Event::Tick
             }
@@ -436,7 +442,12 @@
         if !receiver.is_running {
             let event = event::Event::LinkLost { address: to };
             let delivery = Delivery::Event(Box::new(event));
-            return self.queue_at(self.now + 2 * latency, sender.address, None, delivery);
+            return self.queue_at(
+                self.now_micros + 2 * latency,
+                sender.address,
+                None,
+                delivery,
+            );
         }
         let is_dropped = (self.drop_filter)(&sender, &receiver.state.settings.identity);
         if is_dropped || self.random.random_bool(self.loss_rate) {
@@ -445,18 +456,18 @@
         let copies = 1 + u32::from(self.random.random_bool(self.duplication_rate));
         for _ in 0..copies {
             let last = self.last_delivery.get(&(sender.address, to)).copied();
-            let at = (self.now + latency).max(last.unwrap_or(0));
-            self.last_delivery.insert((sender.address, to), at);
+            let at_micros = (self.now_micros + latency).max(last.unwrap_or(0));
+            self.last_delivery.insert((sender.address, to), at_micros);
             let event = event::Event::Received {
                 from: sender.clone(),
                 message: message.clone(),
             };
-            self.queue_at(at, to, None, Delivery::Event(Box::new(event)));
+            self.queue_at(at_micros, to, None, Delivery::Event(Box::new(event)));
         }
     }
 
     fn count_bytes(&mut self, from: &str, message: &message::PeerMessage) {
-        let reason = message.category();
+        let category = message.category();
         let frame = message::PeerFrame {
             clock: message::HybridTime {
                 wall: time::WallTime(1_800_000_000_000),
@@ -466,10 +477,10 @@
         };
         let bytes = codec::encode_frame(&frame).len() as u64;
         let process = self.process(from);
-        let (frames, total_bytes) = process.sent.entry(reason).or_default();
+        let (frames, total_bytes) = process.sent.entry(category).or_default();
         *frames += 1;
         *total_bytes += bytes;
-        if reason == message::TrafficCategory::Gossip {
+        if category == message::TrafficCategory::Gossip {
             process.largest_gossip_bytes = process.largest_gossip_bytes.max(bytes);
         }
     }
--- a/crates/testkit/src/rollouts.rs
+++ b/crates/testkit/src/rollouts.rs
@@ -80,8 +80,11 @@
 #[derive(Debug, Clone, Copy)]
 struct SimulatedRoute {
     name: &'static str,
+    /// Share of all calls.
     share: f64,
+    /// Mean run time on a machine of speed 1.
     mean_ms: f64,
+    /// Standard deviation of the logarithm of the run time.
     sigma: f64,
 }
 
@@ -103,8 +106,11 @@
 /// Machine with its disturbances, as spans in seconds after the order.
 #[derive(Debug, Clone, Copy)]
 struct SimulatedMachine {
+    /// Divisor of the run times; see [`MACHINE_SPEEDS`].
     speed: f64,
+    /// Span in which 40% of the runs fail.
     failing: Option<(f64, f64)>,
+    /// Span in which runs take five times as long.
     slow: Option<(f64, f64)>,
 }
 
