--- a/benches/dissemination/codec.rs
+++ b/benches/dissemination/codec.rs
@@ -121,7 +121,7 @@
     (delta, updated)
 }
 
-fn short_mark() -> membership::VersionSummary {
+fn version_summary() -> membership::VersionSummary {
     membership::VersionSummary {
         version: ids::CatalogueVersion(2000),
         digest: membership::ShortDigest(7 << 40),
@@ -135,7 +135,7 @@
         roster: None,
     };
     dissemination::ChildReport {
-        held: short_mark(),
+        held: version_summary(),
         subtree,
     }
 }
@@ -147,7 +147,7 @@
     };
     membership::GossipMessage {
         table: membership::ShortDigest(5 << 40),
-        held: short_mark(),
+        held: version_summary(),
         ages: (0..6).map(age).collect(),
         records,
         suspicions: Vec::new(),
--- a/benches/dissemination/virtual_fleet.rs
+++ b/benches/dissemination/virtual_fleet.rs
@@ -190,13 +190,13 @@
     let has_converged = fleet.run_until(CONVERGENCE_TIMEOUT, |fleet| fleet.has_converged(names));
     let seconds = fleet.now().saturating_sub(started).as_secs_f64();
     let controls_sent = source_bytes(fleet) as f64;
-    let mut by_reason = serde_json::Map::new();
-    for reason in message::TrafficCategory::ALL {
+    let mut by_category = serde_json::Map::new();
+    for category in message::TrafficCategory::ALL {
         let sent = CONTROL_NAMES
             .iter()
-            .filter_map(|name| fleet.processes[*name].sent.get(&reason));
+            .filter_map(|name| fleet.processes[*name].sent.get(&category));
         let bytes: u64 = sent.map(|(_, bytes)| bytes).sum();
-        by_reason.insert(reason.as_str().into(), json!(bytes));
+        by_category.insert(category.as_str().into(), json!(bytes));
     }
     let snapshot_bytes = codec::encode_body(&fleet.accepted).len() as f64;
     let (mean, max) = node_bytes(fleet, names);
@@ -204,7 +204,7 @@
         "storm",
         json!({
             "way": topology, "nodes": names.len(), "all_back": has_converged, "seconds": seconds,
-            "source_bytes": controls_sent, "by_reason": by_reason,
+            "source_bytes": controls_sent, "by_reason": by_category,
             "snapshot_bytes": snapshot_bytes,
             "share_of_all_snapshots": controls_sent / (snapshot_bytes * names.len() as f64),
             "node_bytes": mean.round(), "busiest_node_bytes": max,
