--- a/tests/all/crashing.rs
+++ b/tests/all/crashing.rs
@@ -34,12 +34,12 @@
         let request = Request::post(path)
             .body(Full::from(body))
             .expect("a valid request");
-        let answer = fleet
+        let response = fleet
             .send_request(node, "callers", request)
             .await
             .expect("a response");
         let text = |name: &str| {
-            let value = answer.headers().get(name)?;
+            let value = response.headers().get(name)?;
             Some(value.to_str().ok()?.to_owned())
         };
         (text("hazeltiller-code"), text("hazeltiller-outcome"))
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -24,11 +24,11 @@
     for name in FAR_NODES {
         fleet.add_node("sibiu-a", name).await;
     }
-    let tree = json!({"dissemination": {"heads": 1, "fan_out": 2, "keepalive_ms": 300},
+    let tunables = json!({"dissemination": {"heads": 1, "fan_out": 2, "keepalive_ms": 300},
                       "membership": {"gossip_ms": 300, "suspect_ms": 800, "confirm_ms": 800,
                                      "centre_silence_ms": 2500, "heal_ms": 600}});
     for name in CONTROLS.iter().chain(&NEAR_NODES).chain(&FAR_NODES) {
-        fleet.instance(name).settings["tunables"] = tree.clone();
+        fleet.instance(name).settings["tunables"] = tunables.clone();
     }
     fleet.start(&CONTROLS, &["--bootstrap"]).await;
     fleet.start(&NEAR_NODES, &[]).await;
@@ -46,8 +46,8 @@
         .await;
     }
     wait::until("all nodes known at the control", || async {
-        let view = fleet.read("control-1", "/v1/convergence/1").await?;
-        (view["nodes_known"] == 8).then_some(())
+        let report = fleet.read("control-1", "/v1/convergence/1").await?;
+        (report["nodes_known"] == 8).then_some(())
     })
     .await;
     fleet
@@ -76,13 +76,13 @@
 async fn wait_for_behind(fleet: &fleet::Fleet, version: u64, expected: &[&str]) -> Value {
     let path = format!("/v1/convergence/{version}");
     wait::until("the expected convergence report", || async {
-        let view = fleet.read("control-1", &path).await?;
-        let behind = view["behind"].as_array()?.iter();
+        let report = fleet.read("control-1", &path).await?;
+        let behind = report["behind"].as_array()?.iter();
         let mut behind: Vec<&str> = behind
             .filter_map(|node| node["instance"].as_str())
             .collect();
         behind.sort_unstable();
-        (behind == expected).then(|| view.clone())
+        (behind == expected).then(|| report.clone())
     })
     .await
 }
@@ -109,16 +109,16 @@
 async fn convergence_reported() {
     let mut fleet = start_fleet().await;
     let version = apply_change(&fleet, &CONTROLS, &slots_change(1)).await;
-    let view = wait_for_behind(&fleet, version, &[]).await;
+    let report = wait_for_behind(&fleet, version, &[]).await;
     assert_eq!(
-        (&view["nodes_known"], &view["nodes_in_force"]),
+        (&report["nodes_known"], &report["nodes_in_force"]),
         (&json!(8), &json!(8))
     );
     let everywhere = wait::until("the time of full convergence", || async {
-        let view = fleet.read("control-1", "/v1/convergence/2").await?;
+        let report = fleet.read("control-1", "/v1/convergence/2").await?;
         Some((
-            view["in_force_everywhere_at_ms"].as_u64()?,
-            view["accepted_at_ms"].as_u64()?,
+            report["in_force_everywhere_at_ms"].as_u64()?,
+            report["accepted_at_ms"].as_u64()?,
         ))
     })
     .await;
@@ -141,9 +141,9 @@
     fleet
         .wait_version(&["near-1", "near-4", "far-1", "far-4"], version)
         .await;
-    let view = wait_for_behind(&fleet, version, &["far-2", "far-3"]).await;
-    assert_eq!(view["in_force_everywhere_at_ms"], Value::Null);
-    assert_eq!(view["nodes_in_force"], 6);
+    let report = wait_for_behind(&fleet, version, &["far-2", "far-3"]).await;
+    assert_eq!(report["in_force_everywhere_at_ms"], Value::Null);
+    assert_eq!(report["nodes_in_force"], 6);
     partition(&fleet, &others, &["far-3"], proxy::FaultRule::Pass);
     fleet.start(&["far-2"], &[]).await;
     wait_for_behind(&fleet, version, &[]).await;
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -239,11 +239,16 @@
     // The node knows a target once a request has run at it.
     wait::until("runs at every target", || async {
         get(&fleet, "/hop-0").await?;
-        let is_known = targets.iter().all(|it| !it.log().records().is_empty());
+        let is_known = targets
+            .iter()
+            .all(|target| !target.log().records().is_empty());
         is_known.then_some(())
     })
     .await;
-    let before: usize = targets.iter().map(|it| it.log().records().len()).sum();
+    let before: usize = targets
+        .iter()
+        .map(|target| target.log().records().len())
+        .sum();
     // The last service sheds every request, which is the only failure that may be retried here.
     let last_targets = &targets[2 * (CHAIN_LENGTH - 1)..];
     for target in last_targets {
@@ -259,8 +264,11 @@
         failed += usize::from(response.status() != StatusCode::OK);
     }
     assert_eq!(failed, calls);
-    let runs: usize = targets.iter().map(|it| it.log().records().len()).sum();
-    let shed: u64 = last_targets.iter().map(|it| it.log().shed()).sum();
+    let runs: usize = targets
+        .iter()
+        .map(|target| target.log().records().len())
+        .sum();
+    let shed: u64 = last_targets.iter().map(|target| target.log().shed()).sum();
     let shed = shed as usize;
     let sent = runs - before + shed;
     assert!(shed > 0);
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -44,7 +44,7 @@
     handshake::LinkCredentials { identity, key }
 }
 
-/// Returns whether the other side closes the connection within `LONGEST_WAIT`.
+/// Returns whether the other side closes the connection within [`wait::WAIT_TIMEOUT`].
 async fn is_closed(stream: &mut TcpStream) -> bool {
     let mut rest = Vec::new();
     let closing = stream.read_to_end(&mut rest);
@@ -110,7 +110,7 @@
         .expect("the key is right");
     let oversized = u32::MAX.to_le_bytes().to_vec();
     let garbage = [&4_u32.to_le_bytes()[..], &[0, 0xff, 0xff, 0xff]].concat();
-    let oversized_greeting = (wire::MAX_HANDSHAKE_FRAME_BYTES as u32 + 1)
+    let oversized_handshake = (wire::MAX_HANDSHAKE_FRAME_BYTES as u32 + 1)
         .to_le_bytes()
         .to_vec();
     // Bytes to send, and whether to complete the handshake first. The last row sends one byte and
@@ -120,7 +120,7 @@
         (garbage.clone(), true),
         (oversized, false),
         (garbage, false),
-        (oversized_greeting, false),
+        (oversized_handshake, false),
         (vec![1], false),
     ];
     for (bytes, is_authenticated) in table {
--- a/tests/all/pipelining.rs
+++ b/tests/all/pipelining.rs
@@ -162,11 +162,11 @@
     rest.expect("the connection is not reset");
     let head = answer.windows(4).position(|bytes| bytes == b"\r\n\r\n");
     let head = head.expect("the head is complete") + 4;
-    let is_body = answer[head..]
+    let has_body = answer[head..]
         .windows(BODY_BYTES)
         .any(|bytes| bytes == body);
     assert!(
-        is_body,
+        has_body,
         "the response is incomplete: {} bytes received",
         answer.len()
     );
--- a/tests/all/reload.rs
+++ b/tests/all/reload.rs
@@ -9,8 +9,8 @@
 
 async fn readiness(address: std::net::SocketAddr) -> Option<StatusCode> {
     let request = Request::get("/any/path").body(Full::default()).ok()?;
-    let answer = hazeltiller_standin::client::exchange(address, request).await;
-    answer.ok().map(|answer| answer.status())
+    let response = hazeltiller_standin::client::exchange(address, request).await;
+    response.ok().map(|response| response.status())
 }
 
 async fn free_address() -> std::net::SocketAddr {
--- a/tests/all/replication.rs
+++ b/tests/all/replication.rs
@@ -125,8 +125,8 @@
     let reporter = control_group::wait_for_log_line(&fleet, &event_fields("voter_silent", 2)).await;
     let request = Request::get("/metrics").body(Full::default());
     let request = request.expect("a valid request URI");
-    let answer = fleet.send_request(reporter, "operators", request).await;
-    let metrics = answer.expect("the process is running").into_body();
+    let response = fleet.send_request(reporter, "operators", request).await;
+    let metrics = response.expect("the process is running").into_body();
     let metrics = str::from_utf8(&metrics).expect("metrics are UTF-8");
     assert!(metrics.contains(r#"hazeltiller_voters{state="silent"} 1"#));
     assert!(metrics.contains("hazeltiller_store_failed 0"));
@@ -216,11 +216,11 @@
 }
 
 fn control_command(fleet: &mut fleet::Fleet, at: &str, arguments: &[&str]) -> Output {
-    let operator_addresses = fleet.instance(at).addresses["operators"].to_string();
+    let address = fleet.instance(at).addresses["operators"].to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_hazeltiller"));
     let (verb, rest) = arguments.split_first().expect("the subcommand comes first");
     command
-        .args(["control", verb, "--operators", &operator_addresses])
+        .args(["control", verb, "--operators", &address])
         .args(rest);
     command.output().expect("the command line tool runs")
 }
@@ -239,11 +239,11 @@
     // `--bootstrap` has no effect, because the group already exists.
     fleet.start(&[others[0]], &["--bootstrap"]).await;
     fleet.wait_version(&CONTROLS, 1).await;
-    let view = fleet
+    let document = fleet
         .read(others[0], "/v1/control")
         .await
         .expect("the process is running");
-    assert_eq!(view["role"], "learner", "bootstrap is refused");
+    assert_eq!(document["role"], "learner", "bootstrap is refused");
     let early_add = control_command(&mut fleet, retained, &["add", others[0]]);
     assert_eq!(
         early_add.status.code(),
--- a/tests/all/rollouts.rs
+++ b/tests/all/rollouts.rs
@@ -23,19 +23,19 @@
 /// Starts targets with the given names and software version.
 async fn start_targets(
     fleet: &mut fleet::Fleet,
-    (names, text): ([&str; 2], &str),
+    (names, version): ([&str; 2], &str),
     answer: behaviour::ResponseMode,
 ) -> Vec<target::StandInTarget> {
     let mut targets = Vec::new();
     for name in names {
-        let kind = support::StandInOptions {
+        let options = support::StandInOptions {
             behaviour: behaviour::StandInBehaviour {
                 answer,
                 ..behaviour::StandInBehaviour::default()
             },
-            version: Some(text),
+            version: Some(version),
         };
-        targets.push(support::start_stand_in_with_options(fleet, "node-1", name, kind).await);
+        targets.push(support::start_stand_in_with_options(fleet, "node-1", name, options).await);
     }
     targets
 }
@@ -62,8 +62,8 @@
 async fn call_node(node: SocketAddr, number: u64) -> Option<StatusCode> {
     let path = format!("/vehicles/{number}");
     let request = Request::get(path).body(Full::default()).ok()?;
-    let answer = client::exchange(node, request).await.ok()?;
-    Some(answer.status())
+    let response = client::exchange(node, request).await.ok()?;
+    Some(response.status())
 }
 
 /// Sends calls through the node until `rollout watch` ends. Returns its exit code and output and
--- a/tests/all/seeing.rs
+++ b/tests/all/seeing.rs
@@ -82,13 +82,13 @@
 async fn request_followed() {
     let mut fleet = start_fleet().await;
     let _target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
-    let answer = wait::until("a response through the other node", || async {
+    let response = wait::until("a response through the other node", || async {
         let request = Request::get("/vehicles/7").body(Full::default()).ok()?;
         let response = fleet.send_request("node-1", "callers", request).await?;
         (response.status() == StatusCode::OK).then_some(response)
     })
     .await;
-    let id = answer.headers()["hazeltiller-request"].to_str();
+    let id = response.headers()["hazeltiller-request"].to_str();
     let id = id.expect("the id is printable ASCII").to_owned();
     let events = wait::until("the end of the run", || {
         let (events, _) = read_timeline(&mut fleet, &["--request", &id]);
@@ -113,16 +113,16 @@
 async fn metrics_counted() {
     let mut fleet = start_fleet().await;
     let _target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
-    let ask = |path: &'static str| {
+    let get = |path: &'static str| {
         let request = Request::get(path).body(Full::default());
         fleet.send_request("node-1", "callers", request.expect("a valid request URI"))
     };
     wait::until("a response through the other node", || async {
-        let response = ask("/vehicles/7").await?;
+        let response = get("/vehicles/7").await?;
         (response.status() == StatusCode::OK).then_some(())
     })
     .await;
-    ask("/nowhere").await.expect("the node answers");
+    get("/nowhere").await.expect("the node answers");
     let rows = hazeltiller_daemon::metrics::ProcessMetrics::rows();
     let table = [
         (
@@ -178,9 +178,9 @@
         .header("hazeltiller-request", "caller-7")
         .body(Full::default());
     let request = request.expect("a valid request URI");
-    let answer = fleet.send_request("node-1", "callers", request).await;
-    let answer = answer.expect("the node answers");
-    assert_eq!(answer.headers()["hazeltiller-request"], "caller-7");
+    let response = fleet.send_request("node-1", "callers", request).await;
+    let response = response.expect("the node answers");
+    assert_eq!(response.headers()["hazeltiller-request"], "caller-7");
     let (events, _) = read_timeline(&mut fleet, &["--request", "caller-7"]);
     assert_eq!(
         instance_kinds(&events),
@@ -247,9 +247,9 @@
     let path = format!("/vehicles/{}", "x".repeat(10_000));
     let request = Request::get(path).body(Full::default());
     let request = request.expect("a valid request URI");
-    let answer = fleet.send_request("node-1", "callers", request).await;
+    let response = fleet.send_request("node-1", "callers", request).await;
     assert_eq!(
-        answer.expect("the node answers").status(),
+        response.expect("the node answers").status(),
         StatusCode::SERVICE_UNAVAILABLE
     );
     fleet.stop("node-1").await;
--- a/tests/all/soak.rs
+++ b/tests/all/soak.rs
@@ -75,15 +75,15 @@
         let request = request
             .body(Full::from("body"))
             .expect("a valid request URI");
-        let answer =
+        let response =
             client::exchange(node_addresses[sequence % node_addresses.len()], request).await;
-        let Ok(answer) = answer else {
+        let Ok(response) = response else {
             time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let outcome = answer.headers().get("hazeltiller-outcome");
-        if answer.status() == StatusCode::OK {
-            let text = String::from_utf8_lossy(answer.body()).into_owned();
+        let outcome = response.headers().get("hazeltiller-outcome");
+        if response.status() == StatusCode::OK {
+            let text = String::from_utf8_lossy(response.body()).into_owned();
             assert!(
                 text.contains(&path),
                 "{path} got the response to another request: {text}"
@@ -457,15 +457,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn random_faults() {
-    let given = std::env::var("HAZELTILLER_SOAK_SEEDS").ok();
-    let given = given.map(|text| {
+    let configured_seeds = std::env::var("HAZELTILLER_SOAK_SEEDS").ok();
+    let configured_seeds = configured_seeds.map(|text| {
         let seeds = text.split(',').map(|seed| seed.trim().parse());
         seeds
             .collect::<Result<Vec<u64>, _>>()
             .expect("seeds are numbers")
     });
-    let seeds =
-        given.unwrap_or_else(|| REGRESSION_SEEDS.into_iter().chain([DEFAULT_SEED]).collect());
+    let seeds = configured_seeds
+        .unwrap_or_else(|| REGRESSION_SEEDS.into_iter().chain([DEFAULT_SEED]).collect());
     for seed in seeds {
         println!("seed {seed}");
         run_seed(seed).await;
--- a/tests/all/streaming.rs
+++ b/tests/all/streaming.rs
@@ -107,10 +107,10 @@
             body_sender
         });
         let response = sender.send(request.expect("a valid request")).await;
-        let mut answer = response
+        let mut response_body = response
             .expect("the response begins before the request body ends")
             .into_body();
-        let first = answer
+        let first = response_body
             .frame()
             .await
             .expect("a body frame")
@@ -132,7 +132,10 @@
             .await
             .expect("the request body is open");
         drop(body_sender);
-        let rest = answer.collect().await.expect("the response is complete");
+        let rest = response_body
+            .collect()
+            .await
+            .expect("the response is complete");
         let trailers = rest
             .trailers()
             .cloned()
@@ -248,18 +251,18 @@
     let node = fleet.instance("node-1").addresses["target"];
     let silent = raw::RawTarget::start(node, "silent", RawResponse::Bytes("")).await;
     for node in ["node-1", "node-2"] {
-        let answer = wait::until("a target that the node can reach", || async {
+        let response = wait::until("a target that the node can reach", || async {
             let request = Request::get(format!("/vehicles/{node}"))
                 .header("hazeltiller-deadline-ms", "300")
                 .body(Full::default())
                 .ok()?;
-            let answer = fleet.send_request(node, "callers", request).await?;
-            (answer.status() != 503).then_some(answer)
+            let response = fleet.send_request(node, "callers", request).await?;
+            (response.status() != 503).then_some(response)
         })
         .await;
-        assert_eq!(answer.status(), 504, "{node}");
-        assert_eq!(answer.headers()["hazeltiller-code"], "HZ3005");
-        assert_eq!(answer.headers()["hazeltiller-outcome"], "unknown");
+        assert_eq!(response.status(), 504, "{node}");
+        assert_eq!(response.headers()["hazeltiller-code"], "HZ3005");
+        assert_eq!(response.headers()["hazeltiller-outcome"], "unknown");
         raw::wait_for_request(&silent, node).await;
         silent.connection_ended.notified().await;
     }
@@ -285,8 +288,11 @@
             .header("host", "registru")
             .body(StreamBody::new(futures_util::stream::iter(frames)));
         let response = sender.send_request(request.expect("a valid request")).await;
-        let answer = response.expect("a response").into_body().collect().await;
-        assert_eq!(answer.expect("a complete response").to_bytes().len(), size);
+        let collected = response.expect("a response").into_body().collect().await;
+        assert_eq!(
+            collected.expect("a complete response").to_bytes().len(),
+            size
+        );
     }
 }
 
@@ -309,8 +315,8 @@
         let request = Request::get(format!("/vehicles/{number}")).body(Full::default());
         fleet.send_request("node-1", "callers", request.expect("a valid request"))
     });
-    for answer in futures_util::future::join_all(calls).await {
-        assert!(answer.is_some(), "each request is answered");
+    for response in futures_util::future::join_all(calls).await {
+        assert!(response.is_some(), "each request is answered");
     }
     assert!(
         target.log().most_running() <= 2,
--- a/tests/all/what_fails.rs
+++ b/tests/all/what_fails.rs
@@ -20,7 +20,7 @@
 const BRASOV_INSTANCES: [&str; 4] = ["control-1", "control-2", "node-1", "node-2"];
 const SIBIU_INSTANCES: [&str; 3] = ["control-3", "node-3", "node-4"];
 const MISSED_CHANGE_COUNT: u64 = 300;
-const LOST_ANSWER_COUNT: u64 = 20;
+const LOST_RESPONSE_COUNT: u64 = 20;
 
 /// Starts three controls and four nodes in two data centres, with one target in each data centre.
 async fn start_fleet() -> (fleet::Fleet, Vec<target::StandInTarget>) {
@@ -239,7 +239,7 @@
 async fn responses_lost() {
     let (mut fleet, _targets) = start_fleet().await;
     let mut version = 1;
-    for number in 0..LOST_ANSWER_COUNT {
+    for number in 0..LOST_RESPONSE_COUNT {
         let change = class_change(number, version);
         let first = CONTROLS[number as usize % CONTROLS.len()];
         let address = fleet.instance(first).addresses["operators"];
@@ -261,7 +261,7 @@
     let changes = history["changes"].as_array().expect("a JSON array");
     assert_eq!(
         changes.len() as u64,
-        LOST_ANSWER_COUNT + 1,
+        LOST_RESPONSE_COUNT + 1,
         "each change is recorded once"
     );
 }
--- a/tests/all/whole_path.rs
+++ b/tests/all/whole_path.rs
@@ -32,7 +32,7 @@
     let mut fleet = start_fleet().await;
     let target = support::start_stand_in(&mut fleet, "node-2", "registru-sibiu-1").await;
     apply_first_version(&fleet).await;
-    let answer = wait::until("a response through the other node", || async {
+    let response = wait::until("a response through the other node", || async {
         let request = Request::post("/certificates/7")
             .body(Full::from("one body"))
             .ok()?;
@@ -40,9 +40,9 @@
         (response.status() == StatusCode::OK).then_some(response)
     })
     .await;
-    assert_eq!(answer.headers()["hazeltiller-target"], "registru-sibiu-1");
+    assert_eq!(response.headers()["hazeltiller-target"], "registru-sibiu-1");
     assert_eq!(
-        answer.body(),
+        response.body(),
         &Bytes::from("registru-sibiu-1 ran POST /certificates/7\n")
     );
     assert_eq!(target.runs().len(), 1);
