--- a/benches/rest.rs
+++ b/benches/rest.rs
@@ -110,11 +110,11 @@
     }
 }
 
-/// Returns the sum of sent bytes over all reasons of a status document.
+/// Returns the sum of sent bytes over all traffic categories of a status document.
 fn sent_bytes(document: &serde_json::Value) -> f64 {
-    let reasons = document["bytes"]["sent"].as_object();
+    let categories = document["bytes"]["sent"].as_object();
     let bytes = |count: &serde_json::Value| count["bytes"].as_f64().unwrap_or_default();
-    reasons
+    categories
         .into_iter()
         .flat_map(|counts| counts.values())
         .map(bytes)
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -369,12 +369,12 @@
             );
         }
         let lookup = Request::get("/vehicles/1").body(Full::default());
-        let answer = scenario
+        let response = scenario
             .fleet
             .send_request("node-3", "callers", lookup.expect("a valid request"))
             .await;
         assert_eq!(
-            answer.expect("a response").status(),
+            response.expect("a response").status(),
             200,
             "lookups need no control"
         );
