--- a/benches/balancing.rs
+++ b/benches/balancing.rs
@@ -11,14 +11,14 @@
 use serde_json::{Value, json};
 
 /// Slots of each target.
-const SLOTS: u32 = 10;
+const SLOTS_PER_TARGET: u32 = 10;
 const TARGETS: usize = 10;
 /// Mean run time at all targets but one.
 const FAST_RUN_TIME: Duration = Duration::from_millis(10);
 /// Mean run time at the slow target.
 const SLOW_RUN_TIME: Duration = Duration::from_millis(50);
 /// Calls per second that all targets can run: nine fast ones and the slow one.
-const CAPACITY: f64 = 9.0 * 1000.0 + 200.0;
+const CAPACITY_CALLS_PER_S: f64 = 9.0 * 1000.0 + 200.0;
 /// One-way latency between nodes.
 const LINK_LATENCY: Duration = Duration::from_micros(250);
 /// Time for which callers send calls.
@@ -68,8 +68,8 @@
     for (policy_name, policy, half_life_ms) in policies {
         let target = |number| model::ModelTarget {
             service_name: "registru",
-            slots: SLOTS,
-            announced_slots: SLOTS,
+            slots: SLOTS_PER_TARGET,
+            announced_slots: SLOTS_PER_TARGET,
             mean_run_time: if number == 0 {
                 SLOW_RUN_TIME
             } else {
@@ -90,7 +90,7 @@
             let tunables = &mut ingress.state.settings.tunables.routing;
             tunables.load_half_life_ms = half_life_ms;
         });
-        let kind = model::CallKind::plain("/", CAPACITY * load);
+        let kind = model::CallKind::plain("/", CAPACITY_CALLS_PER_S * load);
         let stats = model.run(&[kind], LOAD_TIME).remove(0);
         let line = json!({"bench": "balancing", "policy": policy_name, "load": load,
             "ingresses": ingresses, "seed": seed,
--- a/benches/calls.rs
+++ b/benches/calls.rs
@@ -19,7 +19,7 @@
 
 const ROUNDS: usize = 3;
 /// Calls per second.
-const RATES: [f64; 2] = [200.0, 1000.0];
+const CALL_RATES_PER_S: [f64; 2] = [200.0, 1000.0];
 /// Duration of a round, in seconds.
 const ROUND_SECONDS: u64 = 3;
 const RECORDED_EVENTS: u32 = 200_000;
@@ -97,7 +97,7 @@
         ("own_node", fleet.instance("node-2").addresses["callers"]),
         ("other_node", fleet.instance("node-1").addresses["callers"]),
     ];
-    for rate in RATES {
+    for rate in CALL_RATES_PER_S {
         for round in 0..ROUNDS {
             for (path, address) in paths {
                 measure_path(path, address, rate, round, target.address).await;
--- a/benches/dissemination.rs
+++ b/benches/dissemination.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 /// Numbers of nodes.
-const SIZES: [usize; 4] = [10, 50, 100, 200];
+const NODE_COUNTS: [usize; 4] = [10, 50, 100, 200];
 /// Topologies, with the number of heads per data centre and the fan-out that configure them.
 const TOPOLOGIES: [(&str, u64, u64); 7] = [
     ("star", 4096, 0),
@@ -49,7 +49,7 @@
     }
     if is_selected("ways") {
         for (topology, heads, fan_out) in TOPOLOGIES {
-            for nodes in SIZES {
+            for nodes in NODE_COUNTS {
                 virtual_fleet::measure_topology(
                     topology,
                     virtual_fleet::tunables(heads, fan_out),
--- a/benches/goodput.rs
+++ b/benches/goodput.rs
@@ -9,18 +9,18 @@
 use serde_json::{Value, json};
 
 const TARGETS: usize = 7;
-const SLOTS: u32 = 10;
+const SLOTS_PER_TARGET: u32 = 10;
 /// Mean run time per unit of cost.
 const MEAN_RUN_TIME: Duration = Duration::from_millis(10);
 /// Calls per second that the targets can run.
-const CAPACITY: f64 = 7.0 * 10.0 * 100.0;
+const CAPACITY_CALLS_PER_S: f64 = 7.0 * 10.0 * 100.0;
 const INGRESSES: usize = 8;
 /// One-way latency between nodes.
 const LINK_LATENCY: Duration = Duration::from_micros(250);
 /// Time for which callers send calls.
 const LOAD_TIME: Duration = Duration::from_secs(5);
 /// Number of slots that disables admission control.
-const UNBOUNDED: u32 = 65_536;
+const UNLIMITED_SLOTS: u32 = 65_536;
 
 /// Path, share of the offered load, class and owner of each kind of calls.
 const CALL_MIX: [(&str, f64, &str, &str); 4] = [
@@ -61,7 +61,7 @@
         owner("rally", 1),
         owner("archive", 1),
         json!({"kind": "service", "name": "registru", "owner": "registru", "class": "desk",
-               "limits": {"queue": 20, "slots": UNBOUNDED}}),
+               "limits": {"queue": 20, "slots": UNLIMITED_SLOTS}}),
     ];
     for (path, _, class, owner) in CALL_MIX {
         entries.push(
@@ -87,7 +87,7 @@
 fn target(announced_slots: u32, queue_capacity: usize) -> model::ModelTarget {
     model::ModelTarget {
         service_name: "registru",
-        slots: SLOTS,
+        slots: SLOTS_PER_TARGET,
         announced_slots,
         mean_run_time: MEAN_RUN_TIME,
         queue_capacity,
@@ -98,18 +98,19 @@
 /// Measures goodput with and without admission control at one load, with the same arrivals.
 fn compare_admission(load: f64, seed: u64) {
     let variants = [
-        ("admission", target(SLOTS, 0)),
-        ("none", target(UNBOUNDED, usize::MAX)),
-        ("fifo of 20", target(UNBOUNDED, 20)),
+        ("admission", target(SLOTS_PER_TARGET, 0)),
+        ("none", target(UNLIMITED_SLOTS, usize::MAX)),
+        ("fifo of 20", target(UNLIMITED_SLOTS, 20)),
     ];
     for (variant, target) in variants {
         let mut model = model::CallModel::new(settings(seed, target, 2));
-        let kinds =
-            CALL_MIX.map(|(path, share, ..)| model::CallKind::plain(path, CAPACITY * load * share));
+        let kinds = CALL_MIX.map(|(path, share, ..)| {
+            model::CallKind::plain(path, CAPACITY_CALLS_PER_S * load * share)
+        });
         let stats = model.run(&kinds, LOAD_TIME);
         let good: u64 = stats.iter().map(|kind_stats| kind_stats.good).sum();
         let mut line = json!({"bench": "goodput", "way": variant, "load": load, "seed": seed,
-            "good_of_capacity": good as f64 / LOAD_TIME.as_secs_f64() / CAPACITY});
+            "good_of_capacity": good as f64 / LOAD_TIME.as_secs_f64() / CAPACITY_CALLS_PER_S});
         for ((path, ..), count) in CALL_MIX.iter().zip(&stats) {
             line[*path] = json!({"good_of_sent": count.good as f64 / count.sent as f64,
                 "p99_ms": count.latency_quantile(0.99) as f64 / 1000.0});
@@ -121,14 +122,15 @@
 /// Measures retries while some targets break every connection, at half the capacity of all.
 fn compare_budgets(broken: usize, seed: u64) {
     for (variant, percent, reserve) in [("budget", 10, 3), ("no budget", 100, 1_000_000_000)] {
-        let settings = settings(seed, target(SLOTS, 0), 4);
+        let settings = settings(seed, target(SLOTS_PER_TARGET, 0), 4);
         let mut model = model::CallModel::new(settings).with_ingresses(|ingress| {
             let tunables = &mut ingress.state.settings.tunables.retry;
             tunables.budget_percent = percent;
             tunables.budget_reserve = reserve;
         });
-        let kinds =
-            CALL_MIX.map(|(path, share, ..)| model::CallKind::plain(path, CAPACITY * 0.5 * share));
+        let kinds = CALL_MIX.map(|(path, share, ..)| {
+            model::CallKind::plain(path, CAPACITY_CALLS_PER_S * 0.5 * share)
+        });
         for (phase, broken) in [("before", 0), ("broken", broken), ("after", 0)] {
             model.set_broken(broken);
             let stats = model.run(&kinds, LOAD_TIME);
--- a/benches/latency.rs
+++ b/benches/latency.rs
@@ -21,9 +21,9 @@
 use tokio::{net::TcpStream, task::JoinSet, time};
 
 /// Calls per second.
-const RATES: [u64; 3] = [100, 400, 1000];
+const CALL_RATES_PER_S: [u64; 3] = [100, 400, 1000];
 /// Calls per second of the comparison of calls with and without an idempotency key.
-const KEYED_RATES: [u64; 2] = [100, 400];
+const KEYED_CALL_RATES_PER_S: [u64; 2] = [100, 400];
 const ROUNDS: usize = 8;
 const BLOCK_TIME: Duration = Duration::from_secs(1);
 /// Connections that are opened before the first block.
@@ -33,7 +33,7 @@
 const CONTROLS: [&str; 3] = ["control-1", "control-2", "control-3"];
 const NODES: [&str; 2] = ["node-1", "node-2"];
 /// Clock ticks per second in /proc; fixed on Linux.
-const TICKS_PER_S: f64 = 100.0;
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 fn main() {
     if !std::env::args().any(|argument| argument == "--bench") {
@@ -244,14 +244,14 @@
         path("one-hop", one, &["node-1"], "GET", false),
         path("two-hops", two, &["node-1", "node-2"], "GET", false),
     ];
-    for rate in RATES {
+    for rate in CALL_RATES_PER_S {
         print_overhead("latency", rate, &measure_paths(&fleet, &hops, rate).await);
     }
     let keyed = [
         path("unkeyed", one, &["node-1"], "POST", false),
         path("keyed", one, &["node-1"], "POST", true),
     ];
-    for rate in KEYED_RATES {
+    for rate in KEYED_CALL_RATES_PER_S {
         print_overhead("keyed", rate, &measure_paths(&fleet, &keyed, rate).await);
     }
     measure_claims(&keyed[1]).await;
@@ -360,7 +360,7 @@
         let fields: Vec<&str> = fields.split_whitespace().collect();
         let user: f64 = fields.get(11)?.parse().ok()?;
         let system: f64 = fields.get(12)?.parse().ok()?;
-        Some((user + system) / TICKS_PER_S)
+        Some((user + system) / CLOCK_TICKS_PER_S)
     };
     instances.iter().filter_map(used_seconds).sum()
 }
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -21,7 +21,7 @@
 /// Routes of each service.
 const ROUTES: u64 = 40;
 /// Copies of the catalogue whose memory is measured.
-const COPIES: usize = 50;
+const CATALOGUE_COPIES: usize = 50;
 /// Entries that are written to the store at a time.
 const BATCH_ENTRIES: usize = 1_000;
 const TERM: ids::LeaderTerm = ids::LeaderTerm(1);
@@ -156,8 +156,8 @@
     catalogue.advance(&full_set(), TERM);
     let entries = catalogue.entries.len();
     let before = resident_bytes();
-    let copies: Vec<_> = (0..COPIES).map(|_| catalogue.clone()).collect();
-    let memory_bytes = (resident_bytes() - before) / COPIES as f64;
+    let copies: Vec<_> = (0..CATALOGUE_COPIES).map(|_| catalogue.clone()).collect();
+    let memory_bytes = (resident_bytes() - before) / CATALOGUE_COPIES as f64;
     let snapshot = wire::LogSnapshot {
         catalogue,
         ..wire::LogSnapshot::default()
--- a/benches/rest.rs
+++ b/benches/rest.rs
@@ -9,21 +9,21 @@
 use serde_json::json;
 
 /// Numbers of nodes.
-const SIZES: [usize; 4] = [5, 15, 30, 60];
+const NODE_COUNTS: [usize; 4] = [5, 15, 30, 60];
 /// Time between the discovery of all members and the measurement.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
 const MEASURED_TIME: Duration = Duration::from_secs(10);
 const CONTROLS: [&str; 3] = ["control-1", "control-2", "control-3"];
 const DATA_CENTRES: [&str; 4] = ["brasov-a", "brasov-b", "sibiu-a", "sibiu-b"];
 /// Clock ticks per second in /proc; fixed on Linux.
-const TICKS_PER_S: f64 = 100.0;
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 fn main() {
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
     let runtime = tokio::runtime::Runtime::new().expect("the runtime can be started");
-    for size in SIZES {
+    for size in NODE_COUNTS {
         runtime.block_on(measure(size));
     }
 }
@@ -104,7 +104,7 @@
     let resident = resident.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
     let status_document = fleet.read(name, "/v1/status").await.unwrap_or_default();
     ProcessUsage {
-        cpu_seconds: (ticks(11) + ticks(12)) / TICKS_PER_S,
+        cpu_seconds: (ticks(11) + ticks(12)) / CLOCK_TICKS_PER_S,
         memory_kb: resident.unwrap_or_default(),
         control_bytes: sent_bytes(&status_document),
     }
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -14,7 +14,7 @@
 use crate::{change, check, entry, rollout};
 
 /// Width of the integers into which a digest is divided for addition, in bytes.
-const LANE_BYTES: usize = 8;
+const DIGEST_LANE_BYTES: usize = 8;
 
 /// A catalogue at one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -238,9 +238,9 @@
     combine: fn(u64, u64) -> u64,
 ) -> ids::StateDigest {
     let mut total = [0; 32];
-    for (index, lane) in total.chunks_exact_mut(LANE_BYTES).enumerate() {
+    for (index, lane) in total.chunks_exact_mut(DIGEST_LANE_BYTES).enumerate() {
         let number = |digest: &ids::StateDigest| {
-            let bytes = &digest.0[index * LANE_BYTES..][..LANE_BYTES];
+            let bytes = &digest.0[index * DIGEST_LANE_BYTES..][..DIGEST_LANE_BYTES];
             u64::from_le_bytes(bytes.try_into().expect("a lane is eight bytes wide"))
         };
         lane.copy_from_slice(&combine(number(&left), number(&right)).to_le_bytes());
--- a/crates/daemon/src/callers/attempt.rs
+++ b/crates/daemon/src/callers/attempt.rs
@@ -109,7 +109,7 @@
         attempt,
     };
     let headers = request.headers_mut();
-    headers.insert(wire::TERMS_HEADER, http::header_value(&terms));
+    headers.insert(wire::OFFER_TERMS_HEADER, http::header_value(&terms));
     headers.insert(wire::OFFER_HEADER, http::unindexed_value(&sent));
 }
 
--- a/crates/daemon/src/dialect/native.rs
+++ b/crates/daemon/src/dialect/native.rs
@@ -31,7 +31,7 @@
         Ok(CallHead {
             request: trace::request_id(headers),
             deadline_left: deadline.map(Duration::from_millis),
-            key: single_value(headers, wire::KEY_HEADER)?.map(Into::into),
+            key: single_value(headers, wire::IDEMPOTENCY_KEY_HEADER)?.map(Into::into),
             attempt: attempt.and_then(|value| value.parse().ok()),
         })
     }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -163,7 +163,7 @@
 }
 
 fn is_internal(name: &str) -> bool {
-    name.starts_with(wire::HEADER_PREFIX) || name.starts_with(wire::LINK_PREFIX)
+    name.starts_with(wire::HEADER_PREFIX) || name.starts_with(wire::LINK_HEADER_PREFIX)
 }
 
 /// Encodes a record as a header value.
--- a/crates/daemon/src/http1.rs
+++ b/crates/daemon/src/http1.rs
@@ -43,7 +43,7 @@
 /// Time allowed for a caller to close its connection after the last response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Buffer space reserved for one read.
-const READ_BYTES: usize = 8192;
+const MIN_READ_BUFFER_BYTES: usize = 8192;
 
 /// Limits on the request heads and the idle time of a connection.
 #[derive(Debug, Clone, Copy)]
@@ -109,7 +109,7 @@
     let progress = ConnectionProgress::default();
     let mut reading = ConnectionReader {
         reader,
-        buffer: BytesMut::with_capacity(READ_BYTES),
+        buffer: BytesMut::with_capacity(MIN_READ_BUFFER_BYTES),
         limits,
         service,
         drain: drain.clone(),
@@ -160,7 +160,7 @@
 
 /// Returns once the caller has closed its side. Any data that it still sends is discarded.
 async fn wait_for_close<R: AsyncRead + Unpin>(reader: &mut R) {
-    let mut rest = [0; READ_BYTES];
+    let mut rest = [0; MIN_READ_BUFFER_BYTES];
     while let Ok(1..) = reader.read(&mut rest).await {}
 }
 
@@ -218,7 +218,7 @@
                 time::Instant::now() + self.limits.idle_timeout
             };
             let is_idle = self.progress.pending.load(Ordering::Relaxed) == 0;
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(MIN_READ_BUFFER_BYTES);
             let closing = self.drain.clone();
             tokio::select! {
                 count = self.reader.read_buf(&mut self.buffer) => match count {
@@ -274,7 +274,7 @@
                 // The handler has been notified. The start of the next request is unknown.
                 Err(body::FramingError) => return Some(ReadEnd::Finished),
             }
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(MIN_READ_BUFFER_BYTES);
             match self.reader.read_buf(&mut self.buffer).await {
                 Ok(1..) => {}
                 _ => {
@@ -298,7 +298,7 @@
         let mut permit = std::pin::pin!(responses.reserve());
         loop {
             let has_room = self.buffer.len() < READ_AHEAD_BYTES;
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(MIN_READ_BUFFER_BYTES);
             tokio::select! {
                 biased;
                 granted = &mut permit => {
--- a/crates/daemon/src/http1/body.rs
+++ b/crates/daemon/src/http1/body.rs
@@ -18,7 +18,7 @@
 use crate::http;
 
 /// Body frames queued for the handler. When the queue is full, the connection is not read.
-const QUEUED_FRAMES: usize = 4;
+const QUEUE_CAPACITY_FRAMES: usize = 4;
 /// Maximum length of a chunk-size line, including chunk extensions.
 const MAX_SIZE_LINE_BYTES: usize = 1024;
 /// Maximum number of trailer fields.
@@ -97,7 +97,7 @@
         BodyFraming::Length(length) => (BodyState::Length(length), Some(length)),
         BodyFraming::Chunked => (BodyState::Chunked(ChunkState::Size), None),
     };
-    let (frames, receiver) = mpsc::channel(QUEUED_FRAMES);
+    let (frames, receiver) = mpsc::channel(QUEUE_CAPACITY_FRAMES);
     let body = RequestBody {
         frames: receiver,
         remaining: length,
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -25,7 +25,7 @@
 use crate::{byte_counts, engine_actor, handshake};
 
 /// Capacity of the send queue of a link, in messages.
-const QUEUE_CAPACITY: usize = 512;
+const QUEUE_CAPACITY_MESSAGES: usize = 512;
 /// Maximum time to connect. Allows for two round trips between distant regions, and a
 /// retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -102,7 +102,7 @@
     }
 
     fn open(&self, to: SocketAddr) -> mpsc::Sender<Vec<u8>> {
-        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY_MESSAGES);
         let (credentials, lost_links) = (self.credentials.clone(), self.lost_links.clone());
         tokio::spawn(async move {
             if let Err(error) = run_link(&credentials, to, receiver).await {
--- a/crates/daemon/src/owner.rs
+++ b/crates/daemon/src/owner.rs
@@ -40,7 +40,7 @@
     mut request: Request<Incoming>,
 ) -> Response<http::StreamBody> {
     let headers = request.headers_mut();
-    let terms = http::take_record(headers, wire::TERMS_HEADER);
+    let terms = http::take_record(headers, wire::OFFER_TERMS_HEADER);
     let sent = http::take_record(headers, wire::OFFER_HEADER);
     let offer = terms
         .zip(sent)
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -8,7 +8,7 @@
 use super::{fault, schema};
 
 /// Smallest Jaro-Winkler similarity at which a known key is suggested for an unknown one.
-const MIN_SIMILARITY: f64 = 0.8;
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.8;
 
 /// Returns all faults of a document.
 pub fn check_document(document: &Value) -> Vec<fault::SettingsFault> {
@@ -134,7 +134,7 @@
         .filter_map(|row| row.path.strip_prefix(&prefix)?.split('.').next());
     let similarity = |known: &str| strsim::jaro_winkler(known, key);
     let best = known.max_by(|one, other| similarity(one).total_cmp(&similarity(other)))?;
-    (similarity(best) >= MIN_SIMILARITY).then(|| best.into())
+    (similarity(best) >= MIN_SUGGESTION_SIMILARITY).then(|| best.into())
 }
 
 fn check_roles(document: &Value, faults: &mut Vec<fault::SettingsFault>) {
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -26,7 +26,7 @@
 pub use refusal::{displaced_refusal, expired_refusal};
 
 /// Rank of a class that is not in the catalogue that this node holds: the lowest priority.
-const UNKNOWN_RANK: u32 = 100;
+const UNKNOWN_CLASS_RANK: u32 = 100;
 
 /// Decision on an offered call.
 #[derive(Debug, Clone, PartialEq)]
@@ -436,7 +436,7 @@
     let owner = catalogue.owner(&offer.owner);
     queue::SchedulingParams {
         class: offer.class.clone(),
-        rank: class.map_or(UNKNOWN_RANK, |class| class.rank),
+        rank: class.map_or(UNKNOWN_CLASS_RANK, |class| class.rank),
         guaranteed_share: class.map_or(0.0, |class| class.limits.guaranteed_share),
         owner: offer.owner.clone(),
         weight: owner.map_or(1, |owner| owner.weight),
--- a/crates/engine/src/admission/estimate.rs
+++ b/crates/engine/src/admission/estimate.rs
@@ -10,10 +10,10 @@
 
 /// Minimum weight of a new sample in the smoothed run time. The first samples have a larger weight,
 /// so that they are averaged.
-const MIN_RUN_WEIGHT: f64 = 0.03;
+const MIN_SAMPLE_WEIGHT: f64 = 0.03;
 /// Minimum weight of a new sample in the smoothed run time of a route. A route has fewer runs than
 /// its target, and about ten of them suffice to detect that the target became slow.
-const MIN_ROUTE_WEIGHT: f64 = 0.1;
+const MIN_ROUTE_SAMPLE_WEIGHT: f64 = 0.1;
 /// Runs of a route from which on its own run time is used.
 const MIN_ROUTE_RUNS: u32 = 3;
 /// Factor by which each new call reduces the weight of earlier ones in the share of calls shed
@@ -27,7 +27,7 @@
 /// Maximum number of routes with run times for each target.
 const MAX_ROUTES: usize = 64;
 /// Factor that reduces the slots in use when a target sheds a call.
-const SHED_FACTOR: f64 = 0.8;
+const SLOT_DECREASE_FACTOR: f64 = 0.8;
 
 /// Estimates of the run times and the usable slots of one target.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -89,12 +89,12 @@
         let micros = elapsed.as_secs_f64() * 1e6;
         let (route_us, runs) = self.by_route.entry(route.clone()).or_default();
         *runs = runs.saturating_add(1);
-        *route_us += MIN_ROUTE_WEIGHT.max(1.0 / f64::from(*runs)) * (micros - *route_us);
+        *route_us += MIN_ROUTE_SAMPLE_WEIGHT.max(1.0 / f64::from(*runs)) * (micros - *route_us);
         while self.by_route.len() > MAX_ROUTES {
             self.by_route.shift_remove_index(0);
         }
         self.runs = self.runs.saturating_add(1);
-        let weight = MIN_RUN_WEIGHT.max(1.0 / f64::from(self.runs));
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.runs));
         let unit_us = micros / f64::from(cost.max(1));
         self.unit_us += weight * (unit_us - self.unit_us);
         self.run_us += weight * (micros - self.run_us);
@@ -122,7 +122,7 @@
         let base = self
             .slots
             .map_or(running_calls, |slots| slots.min(running_calls));
-        self.slots = Some((base * SHED_FACTOR).max(1.0));
+        self.slots = Some((base * SLOT_DECREASE_FACTOR).max(1.0));
     }
 
     /// Returns the expected run time of a call of a route. Until the route has enough runs, the run
--- a/crates/engine/src/admission/queue.rs
+++ b/crates/engine/src/admission/queue.rs
@@ -14,7 +14,7 @@
 use indexmap::IndexMap;
 
 /// Maximum unused guaranteed work that a class can accumulate, in cost units.
-const MAX_CREDIT: f64 = 100.0;
+const MAX_CREDIT_COST_UNITS: f64 = 100.0;
 
 /// Class and owner of a call with the parameters by which the call is scheduled.
 #[derive(Debug, Clone, PartialEq)]
@@ -365,8 +365,8 @@
                 continue;
             }
             let spent = if name == class_name { cost } else { 0.0 };
-            class.credit =
-                (class.credit + class.guaranteed_share * cost - spent).clamp(0.0, MAX_CREDIT);
+            class.credit = (class.credit + class.guaranteed_share * cost - spent)
+                .clamp(0.0, MAX_CREDIT_COST_UNITS);
         }
     }
 
--- a/crates/engine/src/admission/standing.rs
+++ b/crates/engine/src/admission/standing.rs
@@ -15,7 +15,7 @@
 /// slots take to drain a burst, and shorter than callers take to retry.
 const STANDING_TIME: Duration = Duration::from_millis(300);
 /// Share of its useful wait that a call may wait in a standing queue.
-const STANDING_SHARE: f64 = 0.25;
+const STANDING_WAIT_SHARE: f64 = 0.25;
 /// Minimum number of slot releases that a call may wait for in a standing queue, so that no slot
 /// becomes idle for lack of a queued call.
 const MIN_STANDING_RELEASES: u32 = 2;
@@ -53,7 +53,7 @@
         }
         let min_wait = release_interval * MIN_STANDING_RELEASES;
         useful_wait
-            .mul_f64(STANDING_SHARE)
+            .mul_f64(STANDING_WAIT_SHARE)
             .max(min_wait)
             .min(useful_wait)
     }
--- a/crates/engine/src/calls/attributes.rs
+++ b/crates/engine/src/calls/attributes.rs
@@ -9,7 +9,7 @@
 use crate::calls;
 
 /// Timeout for the first byte of a response if the service is no longer in the catalogue.
-const DEFAULT_FIRST_BYTE_MS: u32 = 5000;
+const DEFAULT_FIRST_BYTE_TIMEOUT_MS: u32 = 5000;
 
 /// Attributes of a call that do not depend on the chosen target.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -60,7 +60,9 @@
         let entry = catalogue.service(&service);
         Self {
             route: route.name.clone(),
-            first_byte_ms: entry.map_or(DEFAULT_FIRST_BYTE_MS, |entry| entry.limits.first_byte_ms),
+            first_byte_ms: entry.map_or(DEFAULT_FIRST_BYTE_TIMEOUT_MS, |entry| {
+                entry.limits.first_byte_ms
+            }),
             service,
             owner: route.owner.clone(),
             class: route.class.clone(),
--- a/crates/engine/src/dissemination/child.rs
+++ b/crates/engine/src/dissemination/child.rs
@@ -27,7 +27,7 @@
 /// does not acknowledge what it received.
 const UNATTACHED_SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Keepalive periods without acknowledgement after which an update is sent again.
-const RESEND_KEEPALIVES: u32 = 1;
+const RESEND_TIMEOUT_KEEPALIVES: u32 = 1;
 
 /// A node that receives updates from this process.
 #[derive(Debug, Clone, PartialEq)]
@@ -184,7 +184,7 @@
     } else if has_advanced && child.lagging_since.is_some() {
         child.lagging_since = Some(now);
     }
-    let is_overdue = now.since(child.sent_at) >= keepalive * RESEND_KEEPALIVES;
+    let is_overdue = now.since(child.sent_at) >= keepalive * RESEND_TIMEOUT_KEEPALIVES;
     if can_resend && is_overdue && child.held.version < child.sent_version {
         child.sent_version = child.held.version;
     }
--- a/crates/engine/src/dissemination/parent.rs
+++ b/crates/engine/src/dissemination/parent.rs
@@ -25,7 +25,7 @@
 /// Time for which a parent is avoided after its link broke.
 const LINK_LOST_AVOID_TIME: Duration = Duration::from_millis(500);
 /// Silence after which an adopted parent is left, in half keepalive periods.
-const SILENCE_HALF_KEEPALIVES: u32 = 5;
+const SILENCE_TIMEOUT_HALF_KEEPALIVES: u32 = 5;
 /// Keepalive periods for which a parent may be stale or have no path to a control.
 const DEGRADED_KEEPALIVES: u32 = 2;
 /// Keepalive periods for which a former parent is avoided.
@@ -119,7 +119,7 @@
         return try_candidate(state, output);
     };
     let silence_limit = if parent.is_adopted {
-        keepalive * SILENCE_HALF_KEEPALIVES / 2
+        keepalive * SILENCE_TIMEOUT_HALF_KEEPALIVES / 2
     } else {
         keepalive
     };
--- a/crates/engine/src/health/ejection.rs
+++ b/crates/engine/src/health/ejection.rs
@@ -18,7 +18,7 @@
 use crate::{reducer, routing::table, settings};
 
 /// Upper bound of the number of times that the ejection time is doubled.
-const MAX_DOUBLINGS: u32 = 4;
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
 /// Ejection state of one target on one ingress node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -70,7 +70,7 @@
         if self.is_ejected(now) {
             return;
         }
-        let doublings = self.consecutive_ejections.min(MAX_DOUBLINGS);
+        let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = Some(now + base_duration * (1 << doublings));
         self.is_connect_failing = false;
         self.consecutive_ejections += 1;
--- a/crates/engine/src/membership/gossip.rs
+++ b/crates/engine/src/membership/gossip.rs
@@ -33,7 +33,7 @@
 /// Maximum number of records received by synchronization at once that are still spread as rumours.
 const MAX_SYNC_RUMOURS: usize = 4;
 /// Maximum number of suspicions that a probe repeats.
-const PROBE_SUSPICIONS: usize = 3;
+const MAX_PROBE_SUSPICIONS: usize = 3;
 /// Number of gossip periods after the start for which a process sends more often. The members it
 /// was introduced to may be only one part of the fleet, and the controls that connect the parts may
 /// fail.
@@ -159,7 +159,7 @@
     let pause = period.mul_f64(state.random.random_range(0.9..1.1));
     state.membership.timers.next_probe = state.now + pause;
     let mut gossip = gossip_header(state);
-    gossip.suspicions = reach::sample_suspicions(state, PROBE_SUSPICIONS);
+    gossip.suspicions = reach::sample_suspicions(state, MAX_PROBE_SUSPICIONS);
     let membership = &mut state.membership;
     let partners = &membership.partners.partners;
     let unanswered_probes = &mut membership.timers.unanswered_probes;
--- a/crates/engine/src/replication/election.rs
+++ b/crates/engine/src/replication/election.rs
@@ -13,13 +13,13 @@
 /// Bounds of the wait before the first candidacy after a start, as divisors of `election_ms`. It is
 /// shorter than an election timeout since a replica that has just started follows no leader, and a
 /// pre-vote does not disturb an existing one; it only leaves the other replicas time to start.
-const FIRST_WAIT_DIVISORS: (u64, u64) = (5, 2);
+const INITIAL_ELECTION_WAIT_DIVISORS: (u64, u64) = (5, 2);
 
 impl ReplicationState {
     /// Draws the time of the first candidacy after a start.
     fn schedule_first_election(&mut self, context: &mut ReplicaContext) {
         let period = context.tunables().election_ms;
-        let (shortest, longest) = FIRST_WAIT_DIVISORS;
+        let (shortest, longest) = INITIAL_ELECTION_WAIT_DIVISORS;
         let wait = context
             .random
             .random_range(period / shortest..=period / longest);
--- a/crates/engine/src/replication/healing.rs
+++ b/crates/engine/src/replication/healing.rs
@@ -21,7 +21,7 @@
 use crate::settings;
 
 /// Multiple of `replication.replace_ms` after which the leader forgets a silent learner.
-const FORGET_AFTER_PERIODS: u32 = 20;
+const LEARNER_EXPIRY_PERIODS: u32 = 20;
 
 impl ReplicationState {
     /// Replaces a lost voter, if automatic replacement is enabled.
@@ -141,7 +141,8 @@
 
     /// Forgets learners that have been silent for long, so that nothing more is sent to them.
     fn forget_learners(&mut self, context: &ReplicaContext) {
-        let silence_limit = settings::millis(context.tunables().replace_ms) * FORGET_AFTER_PERIODS;
+        let silence_limit =
+            settings::millis(context.tunables().replace_ms) * LEARNER_EXPIRY_PERIODS;
         let group = self.log.group();
         if let ReplicaRole::Leader(leader) = &mut self.role {
             leader.replicas.retain(|replica, progress| {
--- a/crates/engine/src/rollout/evidence.rs
+++ b/crates/engine/src/rollout/evidence.rs
@@ -13,7 +13,7 @@
 };
 
 /// Number of groups in which the non-canary targets of the new version are evaluated.
-const RESERVE_GROUPS: u64 = 4;
+const NON_CANARY_GROUPS: u64 = 4;
 
 /// Minimum number of runs for a target's health to count.
 const MIN_TARGET_RUNS: u64 = 5;
@@ -236,7 +236,7 @@
             let group = if position < canaries {
                 position as u64
             } else {
-                canaries as u64 + rank % RESERVE_GROUPS
+                canaries as u64 + rank % NON_CANARY_GROUPS
             };
             (target.clone(), group)
         };
--- a/crates/engine/src/rollout/plan.rs
+++ b/crates/engine/src/rollout/plan.rs
@@ -20,13 +20,13 @@
 /// Share of calls that the new version gets in the widening phase, in thousandths.
 const WIDENING_PERMILLE: u32 = 300;
 /// Time before the limit at which the rollout ends, with success or a rollback.
-const END_MARGIN: Duration = Duration::from_millis(500);
+const ROLLOUT_END_MARGIN: Duration = Duration::from_millis(500);
 /// Time for which all calls go to the new version before the old targets may stop.
 pub(super) const SETTLE_TIME: Duration = Duration::from_millis(500);
 /// Minimum ratio of the new version's slots to the old version's.
 const MIN_SLOT_RATIO: f64 = 0.8;
 /// Share of nodes on which the switch may not yet be in force when the time limit is reached.
-const MAX_BEHIND_SHARE: f64 = 0.1;
+const MAX_LAGGING_NODE_SHARE: f64 = 0.1;
 
 /// Minimum time for which the new version is observed before it gets more calls.
 const MIN_OBSERVED_TIME: Duration = Duration::from_secs(2);
@@ -128,7 +128,7 @@
     let remaining = situation.within.saturating_sub(elapsed);
     let shift = shift_time(situation.within);
     match situation.phase {
-        _ if remaining <= END_MARGIN => Some(final_step(situation)),
+        _ if remaining <= ROLLOUT_END_MARGIN => Some(final_step(situation)),
         rollout::RolloutPhase::Trial
             if remaining <= shift
                 && has_enough_slots(situation)
@@ -188,7 +188,7 @@
 fn final_step(situation: &RolloutSituation) -> RolloutStep {
     let is_switched = situation.phase == rollout::RolloutPhase::Switched;
     let nodes_behind = situation.nodes_behind as f64;
-    if is_switched && nodes_behind <= situation.known_nodes as f64 * MAX_BEHIND_SHARE {
+    if is_switched && nodes_behind <= situation.known_nodes as f64 * MAX_LAGGING_NODE_SHARE {
         return succeed("all calls go to it");
     }
     if !has_enough_slots(situation) {
--- a/crates/engine/src/rollout/tally.rs
+++ b/crates/engine/src/rollout/tally.rs
@@ -11,9 +11,9 @@
 
 /// Interval between reports of a target of the new version, and of every target once no calls go to
 /// the old version.
-const NEW_VERSION_PERIOD: Duration = Duration::from_millis(250);
+const NEW_VERSION_REPORT_PERIOD: Duration = Duration::from_millis(250);
 /// Interval between reports of a target of the old version; these are far more numerous.
-const OLD_VERSION_PERIOD: Duration = Duration::from_millis(1000);
+const OLD_VERSION_REPORT_PERIOD: Duration = Duration::from_millis(1000);
 /// HTTP status with which an overloaded target sheds a call.
 const SHED_STATUS: u16 = 503;
 /// Lowest HTTP status of a response that counts as failed.
@@ -127,9 +127,9 @@
     };
     let is_due = |tally: &OwnTargetTally| {
         let period = if tally.is_new || is_draining(tally) {
-            NEW_VERSION_PERIOD
+            NEW_VERSION_REPORT_PERIOD
         } else {
-            OLD_VERSION_PERIOD
+            OLD_VERSION_REPORT_PERIOD
         };
         tally.sent_at.is_none_or(|last| now.since(last) >= period)
     };
--- a/crates/engine/src/routing/offer.rs
+++ b/crates/engine/src/routing/offer.rs
@@ -12,7 +12,7 @@
 const INITIAL_COST_S: f64 = 0.01;
 /// Upper bound of a sample in seconds. An offer that took longer was queued for a slot in vain,
 /// which is not part of the cost of the offer itself.
-const MAX_SAMPLE_S: f64 = 0.1;
+const MAX_COST_SAMPLE_S: f64 = 0.1;
 /// Weight of a new sample in the moving average, which thus spans about the last twenty offers.
 const SMOOTHING_FACTOR: f64 = 0.05;
 
@@ -29,7 +29,7 @@
 impl OfferCost {
     /// Records the duration of an offer that was refused without queueing.
     pub fn record(&mut self, duration: Duration) {
-        let sample_s = duration.as_secs_f64().min(MAX_SAMPLE_S);
+        let sample_s = duration.as_secs_f64().min(MAX_COST_SAMPLE_S);
         self.0 += SMOOTHING_FACTOR * (sample_s - self.0);
     }
 
--- a/crates/engine/src/routing/size.rs
+++ b/crates/engine/src/routing/size.rs
@@ -12,7 +12,7 @@
 /// Number of routes that are tracked; the one that was added first is evicted first.
 const MAX_ROUTES: usize = 1024;
 /// Bytes of the request and response heads of a call between two nodes.
-const HEAD_BYTES: f64 = 1000.0;
+const CALL_HEAD_BYTES: f64 = 1000.0;
 
 /// Exponential moving average of the body bytes of a call, by route.
 #[derive(Debug, Clone, Default)]
@@ -35,6 +35,6 @@
 
     /// Returns the mean bytes that a call of a route transfers, heads included.
     pub fn of_route(&self, route: &ids::EntryName) -> f64 {
-        HEAD_BYTES + self.0.get(route).copied().unwrap_or_default()
+        CALL_HEAD_BYTES + self.0.get(route).copied().unwrap_or_default()
     }
 }
--- a/crates/engine/tests/dissemination.rs
+++ b/crates/engine/tests/dissemination.rs
@@ -10,7 +10,7 @@
 use hazeltiller_units::ids;
 use hazeltiller_wire::{dissemination as wire, membership, message};
 
-const CENTRES: [&str; 2] = ["brasov-a", "sibiu-a"];
+const DATA_CENTRES: [&str; 2] = ["brasov-a", "sibiu-a"];
 const CONTROLS: [(&str, &str); 3] = [("c-0", "brasov-a"), ("c-1", "sibiu-a"), ("c-2", "brasov-a")];
 const ALL_CONTROLS: [&str; 3] = ["c-0", "c-1", "c-2"];
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -20,7 +20,7 @@
     let mut fleet =
         reducers::ReducerFleet::new(seed, settings::EngineTunables::default(), &CONTROLS);
     let mut names = Vec::new();
-    for centre in CENTRES {
+    for centre in DATA_CENTRES {
         names.extend(fleet.add_nodes(centre, nodes));
     }
     fleet.accept(entries::base(), &ALL_CONTROLS);
@@ -82,7 +82,7 @@
     let fan_out = fleet.tunables.dissemination.fan_out as usize;
     for process in fleet.processes.values() {
         let children = process.state.dissemination.children.values();
-        for centre in CENTRES {
+        for centre in DATA_CENTRES {
             let is_in_centre = |child: &&dissemination::child::ChildRecord| {
                 child.identity.data_centre.as_str() == centre
             };
--- a/crates/engine/tests/expected.rs
+++ b/crates/engine/tests/expected.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use serde_json::json;
 
-const SLOTS: u32 = 6;
+const SLOTS_PER_TARGET: u32 = 6;
 
 struct Ingress {
     node: node::NodeReducer,
@@ -32,7 +32,11 @@
         node.state.settings.tunables.retry.free_placements = 3;
         for (name, data_centre, _) in targets {
             let identity = node::identity(&format!("node-{name}"), data_centre, "ro-centru");
-            node.receive_record(&identity, 1, vec![node::target(name, "registru", SLOTS)]);
+            node.receive_record(
+                &identity,
+                1,
+                vec![node::target(name, "registru", SLOTS_PER_TARGET)],
+            );
         }
         let mut ingress = Self { node, last_call: 0 };
         // The first call creates the views of the targets.
@@ -55,7 +59,7 @@
         let load = wire::LoadReport {
             in_flight,
             queued: 0,
-            slots: SLOTS,
+            slots: SLOTS_PER_TARGET,
             service_us,
             route_us,
             is_failing: false,
@@ -104,8 +108,8 @@
 #[test]
 fn short_runs_not_speed() {
     let mut ingress = Ingress::new(&[("mixed", "brasov-a", 100), ("plain", "brasov-a", 100)]);
-    ingress.report_of_route("mixed", SLOTS, 20_000, 100_000);
-    ingress.report_of_route("plain", SLOTS - 2, 100_000, 100_000);
+    ingress.report_of_route("mixed", SLOTS_PER_TARGET, 20_000, 100_000);
+    ingress.report_of_route("plain", SLOTS_PER_TARGET - 2, 100_000, 100_000);
     let spread = ingress.spread(2);
     assert_eq!(
         spread,
@@ -119,7 +123,7 @@
     let mut ingress = Ingress::new(&[("near", "brasov-a", 100), ("far", "sibiu-a", 100)]);
     let spread = ingress.spread(4);
     assert_eq!(spread, IndexMap::from([("near".into(), 4)]));
-    ingress.report("near", 3 * SLOTS, 100_000);
+    ingress.report("near", 3 * SLOTS_PER_TARGET, 100_000);
     let spread = ingress.spread(4);
     assert_eq!(spread, IndexMap::from([("far".into(), 4)]));
 }
@@ -199,7 +203,7 @@
     for (bytes, expected) in [(200, "far"), (20_000, "near")] {
         let mut ingress = Ingress::new(&[("near", "brasov-a", 100), ("far", "sibiu-a", 100)]);
         ingress.respond(bytes);
-        ingress.report("near", 2 * SLOTS - 2, 100_000);
+        ingress.report("near", 2 * SLOTS_PER_TARGET - 2, 100_000);
         ingress.report("far", 0, 100_000);
         let spread = ingress.spread(1);
         assert_eq!(spread, IndexMap::from([(expected.into(), 1)]), "{bytes}");
@@ -213,7 +217,7 @@
     let mut ingress = Ingress::new(&[("other", "brasov-a", 100)]);
     ingress
         .node
-        .announce(node::target("own", "registru", SLOTS));
+        .announce(node::target("own", "registru", SLOTS_PER_TARGET));
     let first = ingress.arrive();
     assert_eq!(
         first.offer.target.as_str(),
@@ -236,10 +240,10 @@
 #[test]
 fn old_reports_decay() {
     let mut ingress = Ingress::new(&[("old", "brasov-a", 100), ("new", "brasov-a", 100)]);
-    ingress.report("old", 2 * SLOTS, 100_000);
+    ingress.report("old", 2 * SLOTS_PER_TARGET, 100_000);
     ingress.node.advance(Duration::from_secs(4));
     for _ in 0..40 {
-        ingress.report("new", SLOTS + 1, 100_000);
+        ingress.report("new", SLOTS_PER_TARGET + 1, 100_000);
     }
     let spread = ingress.spread(1);
     assert_eq!(spread, IndexMap::from([("new".into(), 1)]));
--- a/crates/engine/tests/membership.rs
+++ b/crates/engine/tests/membership.rs
@@ -12,7 +12,7 @@
 use hazeltiller_units::ids;
 use hazeltiller_wire::{membership as wire, message};
 
-const CENTRES: [&str; 2] = ["brasov-a", "sibiu-a"];
+const DATA_CENTRES: [&str; 2] = ["brasov-a", "sibiu-a"];
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 const LEASE: Duration = Duration::from_secs(600);
 
@@ -21,7 +21,7 @@
     let mut fleet =
         reducers::ReducerFleet::new(seed, settings::EngineTunables::default(), &controls);
     let mut names = Vec::new();
-    for centre in CENTRES {
+    for centre in DATA_CENTRES {
         names.extend(fleet.add_nodes(centre, nodes));
     }
     let count = names.len() + 1;
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -115,7 +115,7 @@
     /// Runs a surge on nodes with little processor time, with runs that make their inner calls at
     /// their end, and with a longer surge and settling time.
     fn run_on_slow_nodes(seed: u64) -> Self {
-        let model = model(seed).with_processors(MESSAGE_TIME);
+        let model = model(seed).with_processors(SLOW_NODE_MESSAGE_TIME);
         Self::run_surge(
             seed,
             model,
@@ -209,9 +209,9 @@
 }
 
 /// Time that a node with a tenth of a core takes to process a message.
-const MESSAGE_TIME: Duration = Duration::from_millis(4);
+const SLOW_NODE_MESSAGE_TIME: Duration = Duration::from_millis(4);
 /// Maximum offers for each arriving call: refused calls are rarely offered again.
-const MAX_OFFERS: f64 = 1.5;
+const MAX_OFFERS_PER_CALL: f64 = 1.5;
 /// Maximum share of slot time that may be spent on runs whose result is not used.
 const MAX_WASTED_SHARE: f64 = 0.1;
 /// Maximum median time to a refusal, which leaves a caller most of its time.
@@ -233,7 +233,7 @@
 fn offers_not_multiplied() {
     for result in &*SLOW_NODE_SURGES {
         assert!(
-            result.offers_per_call() <= MAX_OFFERS,
+            result.offers_per_call() <= MAX_OFFERS_PER_CALL,
             "{}",
             result.summary()
         );
@@ -256,7 +256,7 @@
 fn lookups_under_issue_overload(seed: u64) -> model::KindStats {
     let mut kinds = kinds(1.0, model::CallTiming::AtEnd);
     kinds[1].rate *= 2.0;
-    let mut model = model(seed).with_processors(MESSAGE_TIME);
+    let mut model = model(seed).with_processors(SLOW_NODE_MESSAGE_TIME);
     let mut counts = model.run(&kinds, NORMAL_TIME);
     counts.swap_remove(0)
 }
--- a/crates/engine/tests/replication/rollouts.rs
+++ b/crates/engine/tests/replication/rollouts.rs
@@ -11,7 +11,7 @@
 const ELECTION_ROUNDS: usize = 150;
 /// Rounds of `settle` that exceed the time limit of the rollouts below.
 const ROLLOUT_ROUNDS: usize = 700;
-const WITHIN_MS: u32 = 12_000;
+const ROLLOUT_TIME_LIMIT_MS: u32 = 12_000;
 
 fn service() -> ids::EntryName {
     "registru".parse().expect("the name is valid")
@@ -69,7 +69,7 @@
 #[test]
 fn order_survives_leader() {
     let (mut network, leader) = group();
-    let number = submit(&mut network, leader, order("v2", WITHIN_MS));
+    let number = submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     let ordered = receipt(&network, number).version;
     network.crash(leader, 0);
     network.settle(ELECTION_ROUNDS);
@@ -96,11 +96,11 @@
 #[test]
 fn resent_order_acknowledged() {
     let (mut network, leader) = group();
-    let first = submit(&mut network, leader, order("v2", WITHIN_MS));
-    let again = submit(&mut network, leader, order("v2", WITHIN_MS));
+    let first = submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
+    let again = submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     assert_eq!(receipt(&network, first), receipt(&network, again));
     network.settle(ROLLOUT_ROUNDS);
-    let late = submit(&mut network, leader, order("v2", WITHIN_MS));
+    let late = submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     assert_eq!(receipt(&network, first), receipt(&network, late));
     assert_eq!(
         phase(&network, leader),
@@ -111,11 +111,11 @@
 #[test]
 fn repeated_order_restarts() {
     let (mut network, leader) = group();
-    let first = submit(&mut network, leader, order("v2", WITHIN_MS));
+    let first = submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     network.settle(ROLLOUT_ROUNDS);
-    submit(&mut network, leader, order("v3", WITHIN_MS));
+    submit(&mut network, leader, order("v3", ROLLOUT_TIME_LIMIT_MS));
     network.settle(ROLLOUT_ROUNDS);
-    let again = submit(&mut network, leader, order("v2", WITHIN_MS));
+    let again = submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     assert!(receipt(&network, first).version < receipt(&network, again).version);
     assert_eq!(phase(&network, leader), Some(rollout::RolloutPhase::Trial));
 }
@@ -123,7 +123,7 @@
 #[test]
 fn restart_rolls_back() {
     let (mut network, leader) = group();
-    submit(&mut network, leader, order("v2", WITHIN_MS));
+    submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     for control in 0..3 {
         network.crash(control, 0);
     }
@@ -143,7 +143,7 @@
     let unknown = rollout::RolloutOrder {
         service: "arhiva".parse().expect("the name is valid"),
         to: "v2".parse().expect("the version is valid"),
-        within_ms: WITHIN_MS,
+        within_ms: ROLLOUT_TIME_LIMIT_MS,
     };
     let unknown = change::ChangeRequest::rollout_order(unknown);
     let abort = rollout::RolloutRequest::Abort(service());
@@ -159,8 +159,8 @@
         assert_eq!(refusal(&network, number), Some(expected));
     }
     assert_eq!(latest(&network, leader), None, "no rollout was started");
-    submit(&mut network, leader, order("v2", WITHIN_MS));
-    let number = submit(&mut network, leader, order("v3", WITHIN_MS));
+    submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
+    let number = submit(&mut network, leader, order("v3", ROLLOUT_TIME_LIMIT_MS));
     let expected = Some(code::ResultCode::RolloutInProgress);
     assert_eq!(refusal(&network, number), expected);
 }
@@ -168,7 +168,7 @@
 #[test]
 fn rollout_entry_protected() {
     let (mut network, leader) = group();
-    submit(&mut network, leader, order("v2", WITHIN_MS));
+    submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     let version = network.version(leader).0;
     let mut forged = serde_json::to_value(latest(&network, leader)).expect("the entry serializes");
     forged["kind"] = json!("rollout");
@@ -188,7 +188,7 @@
 #[test]
 fn replacement_keeps_rollout() {
     let (mut network, leader) = group();
-    submit(&mut network, leader, order("v2", WITHIN_MS));
+    submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     let mark = change::CatalogueReplacement {
         label: ids::RevisionLabel(2),
         base: ids::RevisionLabel(0),
@@ -207,7 +207,7 @@
 #[test]
 fn abort_rolls_back() {
     let (mut network, leader) = group();
-    submit(&mut network, leader, order("v2", WITHIN_MS));
+    submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     let id = "abort-1".parse().expect("the id is valid");
     let abort = rollout::RolloutRequest::Abort(service());
     let number = submit(
@@ -224,9 +224,9 @@
 #[test]
 fn unknown_token_refused() {
     let (mut network, leader) = group();
-    submit(&mut network, leader, order("v2", WITHIN_MS));
+    submit(&mut network, leader, order("v2", ROLLOUT_TIME_LIMIT_MS));
     let unknown_holder = replication::ChangeAuthor::Holder(ids::StateDigest([7; 32]));
-    let number = network.submit_as(leader, order("v2", WITHIN_MS), unknown_holder);
+    let number = network.submit_as(leader, order("v2", ROLLOUT_TIME_LIMIT_MS), unknown_holder);
     network.settle(10);
     let expected = Some(code::ResultCode::OperatorUnknown);
     assert_eq!(refusal(&network, number), expected);
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -264,17 +264,17 @@
 fn nine_hops() {
     // In a chain of services, each hop receives the status of the next one; all runs of the last
     // service fail.
-    const HOPS: usize = 9;
+    const HOP_COUNT: usize = 9;
     const CALLS: u32 = 500;
-    let mut hops: Vec<Ingress> = (0..HOPS).map(|_| Ingress::new(3)).collect();
-    let mut sent = [0_u32; HOPS];
+    let mut hops: Vec<Ingress> = (0..HOP_COUNT).map(|_| Ingress::new(3)).collect();
+    let mut sent = [0_u32; HOP_COUNT];
     for _ in 0..CALLS {
         call_hop(&mut hops, &mut sent, 0, 1);
     }
     let all: u32 = sent.iter().sum();
-    let callers = CALLS * HOPS as u32;
+    let callers = CALLS * HOP_COUNT as u32;
     assert!(all * 10 < callers * 12, "{sent:?}");
-    assert!(sent[HOPS - 1] * 10 < CALLS * 12, "{sent:?}");
+    assert!(sent[HOP_COUNT - 1] * 10 < CALLS * 12, "{sent:?}");
 }
 
 /// Sends a call at one hop and counts its attempts there in `sent`; returns the status that the
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -11,7 +11,7 @@
 use hazeltiller_units::{ids, time};
 use hazeltiller_wire::rollout as wire;
 
-const WITHIN: Duration = Duration::from_secs(12);
+const ROLLOUT_TIME_LIMIT: Duration = Duration::from_secs(12);
 
 fn entry(phase: rollout::RolloutPhase) -> rollout::RolloutEntry {
     rollout::RolloutEntry {
@@ -21,7 +21,7 @@
         order: ids::CatalogueVersion(7),
         to: version("v2"),
         from: vec![version("v1")],
-        within_ms: WITHIN.as_millis() as u32,
+        within_ms: ROLLOUT_TIME_LIMIT.as_millis() as u32,
         phase,
         share_permille: 60,
         reason: String::new(),
@@ -69,7 +69,7 @@
     plan::RolloutSituation {
         phase,
         share: 0.06,
-        within: WITHIN,
+        within: ROLLOUT_TIME_LIMIT,
         elapsed: Some(elapsed),
         time_in_phase: elapsed,
         finding: None,
--- a/crates/engine/tests/verdict.rs
+++ b/crates/engine/tests/verdict.rs
@@ -8,13 +8,13 @@
 use hazeltiller_testkit::rollouts;
 
 /// Number of rollouts that are simulated for each fault.
-const SEEDS: u64 = 200;
+const SEED_COUNT: u64 = 200;
 /// Minimum share of the rollouts that must be judged correctly.
 const MIN_CORRECT_SHARE: f64 = 0.99;
 /// Maximum share of a service's calls that a bad version may have had by the time limit.
-const MAX_CALL_SHARE: f64 = 0.1;
+const MAX_BAD_VERSION_CALL_SHARE: f64 = 0.1;
 /// Number of calls that a bad version may have had in addition.
-const CALL_SLACK: f64 = 50.0;
+const BAD_VERSION_SLACK_CALLS: f64 = 50.0;
 
 fn scenario(seed: u64, fault: rollouts::VersionFault) -> rollouts::RolloutScenario {
     rollouts::RolloutScenario {
@@ -34,14 +34,14 @@
         let mut judge = verdict::SequentialJudge::default();
         rollouts::simulate(scenario(seed, fault), &mut judge)
     };
-    (0..SEEDS).map(simulate).collect()
+    (0..SEED_COUNT).map(simulate).collect()
 }
 
 /// Checks that rollouts with this fault end in `phase`, and that a bad version got few calls.
 fn check(fault: rollouts::VersionFault, phase: rollout::RolloutPhase) {
     let outcomes = outcomes(fault);
     let correct = outcomes.iter().filter(|outcome| outcome.phase == phase);
-    let share = correct.count() as f64 / SEEDS as f64;
+    let share = correct.count() as f64 / SEED_COUNT as f64;
     assert!(
         share >= MIN_CORRECT_SHARE,
         "{fault:?}: {share} judged correctly"
@@ -50,7 +50,7 @@
         return;
     }
     for (seed, outcome) in outcomes.iter().enumerate() {
-        let bound = outcome.runs as f64 * MAX_CALL_SHARE + CALL_SLACK;
+        let bound = outcome.runs as f64 * MAX_BAD_VERSION_CALL_SHARE + BAD_VERSION_SLACK_CALLS;
         let new_version_runs = outcome.new_version_runs as f64;
         assert!(
             new_version_runs <= bound,
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -145,7 +145,7 @@
     runs::RunRecord {
         method: parts.method.to_string(),
         path: parts.uri.to_string(),
-        key: header_text(parts, headers::KEY).map(Into::into),
+        key: header_text(parts, headers::IDEMPOTENCY_KEY).map(Into::into),
         body_bytes,
         began: 0,
         ended: None,
@@ -182,7 +182,11 @@
     let request_path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let path = next.path.as_deref().unwrap_or(request_path);
     let mut builder = Request::builder().method(parts.method.clone()).uri(path);
-    for name in [headers::KEY, headers::DEADLINE, headers::ATTEMPT] {
+    for name in [
+        headers::IDEMPOTENCY_KEY,
+        headers::DEADLINE,
+        headers::ATTEMPT,
+    ] {
         if let Some(value) = parts.headers.get(name) {
             builder = builder.header(name, value);
         }
--- a/crates/standin/src/headers.rs
+++ b/crates/standin/src/headers.rs
@@ -4,7 +4,7 @@
 //! only the documented interface.
 
 /// Idempotency key of a caller's request. A resend has the same key.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Time left until the caller's deadline, in milliseconds.
 pub const DEADLINE: &str = "hazeltiller-deadline-ms";
 /// Highest attempt number among the hops of a call. A target copies it to the calls that it makes.
@@ -14,4 +14,4 @@
 /// Outcome of the request, in a response that the system generated itself.
 pub const OUTCOME: &str = "hazeltiller-outcome";
 /// Value of [`OUTCOME`] for a request that did not run.
-pub const NOT_RUN: &str = "not-run";
+pub const NOT_RUN_OUTCOME: &str = "not-run";
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -196,7 +196,7 @@
         .uri(format!("{path}{separator}{tag}"))
         .header(header::HOST, host);
     if kind.keyed {
-        builder = builder.header(headers::KEY, tag);
+        builder = builder.header(headers::IDEMPOTENCY_KEY, tag);
     }
     if let Some(deadline_ms) = kind.deadline_ms {
         builder = builder.header(headers::DEADLINE, deadline_ms);
@@ -234,7 +234,7 @@
     if let Some(code) = text(headers::CODE) {
         let end = SendEnd::Refused {
             code: code.into(),
-            is_not_run: text(headers::OUTCOME) == Some(headers::NOT_RUN),
+            is_not_run: text(headers::OUTCOME) == Some(headers::NOT_RUN_OUTCOME),
         };
         return (end, false);
     }
--- a/crates/standin/src/load/collect.rs
+++ b/crates/standin/src/load/collect.rs
@@ -16,9 +16,9 @@
 const MIN_POINT_DURATION: Duration = Duration::from_millis(250);
 const MAX_LATENCY: Duration = Duration::from_secs(600);
 /// Significant decimal digits of the latencies by kind and class.
-const REPORT_DIGITS: u8 = 3;
+const REPORT_SIGNIFICANT_DIGITS: u8 = 3;
 /// Significant decimal digits of the latencies in the time series.
-const SERIES_DIGITS: u8 = 2;
+const SERIES_SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Progress of a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,7 +87,7 @@
             resends: 0,
             answered: 0,
             value: 0,
-            latency: histogram(REPORT_DIGITS),
+            latency: histogram(REPORT_SIGNIFICANT_DIGITS),
         }
     }
 }
@@ -96,7 +96,7 @@
     fn default() -> Self {
         Self {
             value: 0,
-            latency: histogram(SERIES_DIGITS),
+            latency: histogram(SERIES_SIGNIFICANT_DIGITS),
         }
     }
 }
--- a/crates/standin/src/load/settings.rs
+++ b/crates/standin/src/load/settings.rs
@@ -4,7 +4,7 @@
 
 use crate::load::mix;
 
-const DEFAULT_RATE: f64 = 100.0;
+const DEFAULT_RATE_PER_S: f64 = 100.0;
 const DEFAULT_DURATION: Duration = Duration::from_secs(10);
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 const DEFAULT_SENDS: u32 = 3;
@@ -50,7 +50,7 @@
         let settings = Self {
             nodes,
             mix,
-            rate: DEFAULT_RATE,
+            rate: DEFAULT_RATE_PER_S,
             duration: DEFAULT_DURATION,
             seed: 0,
             timeout: DEFAULT_TIMEOUT,
--- a/crates/testkit/src/reducers.rs
+++ b/crates/testkit/src/reducers.rs
@@ -25,7 +25,7 @@
 /// One-way latency between data centres.
 const REMOTE_LATENCY_MICROS: u64 = 1_500;
 const FIRST_INCARNATION: u64 = 1_000_000;
-const PORT: u16 = 7000;
+const PEER_PORT: u16 = 7000;
 
 /// Predicate over sender and receiver that selects the messages to be dropped.
 pub type LinkFilter = Box<dyn Fn(&membership::PeerIdentity, &membership::PeerIdentity) -> bool>;
@@ -504,5 +504,5 @@
 
 fn address(index: usize) -> SocketAddr {
     let host = Ipv4Addr::new(10, 0, (index / 250) as u8, (index % 250) as u8 + 1);
-    SocketAddr::from((host, PORT))
+    SocketAddr::from((host, PEER_PORT))
 }
--- a/crates/testkit/src/rollouts.rs
+++ b/crates/testkit/src/rollouts.rs
@@ -23,7 +23,7 @@
 /// Maximum share of calls that go to the new version during the trial.
 const MAX_TRIAL_SHARE: f64 = 0.06;
 /// Number of groups in which the new version's targets are judged, apart from the canaries.
-const RESERVE_GROUPS: u64 = 4;
+const NON_CANARY_GROUPS: u64 = 4;
 
 /// Fault of the new version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -285,7 +285,7 @@
                 let group = if is_canary {
                     target_index as u64
                 } else {
-                    canaries as u64 + target_index as u64 % RESERVE_GROUPS
+                    canaries as u64 + target_index as u64 % NON_CANARY_GROUPS
                 };
                 window.record_new_version(group, name, &counts);
             } else {
--- a/crates/wire/src/calls.rs
+++ b/crates/wire/src/calls.rs
@@ -17,10 +17,10 @@
 pub const HEADER_PREFIX: &str = "hazeltiller-";
 /// Prefix of the names of headers that are used between nodes only. Short, since every call
 /// carries them.
-pub const LINK_PREFIX: &str = "hz-";
+pub const LINK_HEADER_PREFIX: &str = "hz-";
 /// Header with the [`OfferTerms`] of a call. Identical for all calls of a route, so that HTTP/2
 /// header compression sends it once per connection.
-pub const TERMS_HEADER: &str = "hz-t";
+pub const OFFER_TERMS_HEADER: &str = "hz-t";
 /// Header with the [`SentOffer`] of a call.
 pub const OFFER_HEADER: &str = "hz-o";
 /// Header with the [`CallRefusal`] of an offer that was refused.
@@ -47,7 +47,7 @@
 /// Header with the name of the target that answered.
 pub const TARGET_HEADER: &str = "hazeltiller-target";
 /// Header with the caller's idempotency key, by which a resent request is recognised.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Whether a request that the system answered with an error was run by a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/wire/src/rollout.rs
+++ b/crates/wire/src/rollout.rs
@@ -10,13 +10,13 @@
 /// the previous one times the square root of two.
 pub const LATENCY_BUCKETS: usize = 20;
 /// Lower bound of the second bucket, in milliseconds. The first bucket starts at zero.
-const SECOND_BUCKET_MS: f64 = 4.0;
+const SECOND_BUCKET_START_MS: f64 = 4.0;
 /// Number of buckets over which the bound doubles.
 pub const BUCKETS_PER_DOUBLING: usize = 2;
 
 /// Returns the index of the bucket for a run duration.
 pub fn latency_bucket(duration: std::time::Duration) -> usize {
-    let ratio = duration.as_secs_f64() * 1e3 / SECOND_BUCKET_MS;
+    let ratio = duration.as_secs_f64() * 1e3 / SECOND_BUCKET_START_MS;
     let buckets_above = ratio.log2() * BUCKETS_PER_DOUBLING as f64;
     // The cast saturates at zero for durations below the second bucket, including zero.
     ((buckets_above.floor() + 1.0) as usize).min(LATENCY_BUCKETS - 1)
--- a/src/commands/rollout.rs
+++ b/src/commands/rollout.rs
@@ -25,16 +25,17 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        const EXPECTED: &str = "expected a whole number with the unit ms, s or m, such as 12s";
+        const EXPECTED_FORMAT: &str =
+            "expected a whole number with the unit ms, s or m, such as 12s";
         let digits = text.trim_end_matches(|letter: char| letter.is_ascii_alphabetic());
-        let number: u32 = digits.parse().map_err(|_not_a_number| EXPECTED)?;
+        let number: u32 = digits.parse().map_err(|_not_a_number| EXPECTED_FORMAT)?;
         let unit_ms = match &text[digits.len()..] {
             "ms" => 1,
             "s" => 1000,
             "m" => 60_000,
-            _ => return Err(EXPECTED),
+            _ => return Err(EXPECTED_FORMAT),
         };
-        number.checked_mul(unit_ms).map(Self).ok_or(EXPECTED)
+        number.checked_mul(unit_ms).map(Self).ok_or(EXPECTED_FORMAT)
     }
 }
 
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -18,8 +18,8 @@
 
 const FOLLOW_PERIOD: Duration = Duration::from_millis(500);
 const DAY_MS: u64 = 24 * 60 * 60 * 1000;
-const RESET: &str = "\x1b[0m";
-const DIM: &str = "\x1b[2m";
+const ANSI_RESET: &str = "\x1b[0m";
+const ANSI_DIM: &str = "\x1b[2m";
 /// Colours of event kinds, by prefix of the kind.
 const KIND_COLOURS: [(&str, &str); 5] = [
     ("change_", "\x1b[32m"),
@@ -211,7 +211,7 @@
         let kind_width = width(|event| event.kind.len());
         for event in &events {
             let (colour, dim, reset) = if is_coloured {
-                (colour(&event.kind), DIM, RESET)
+                (colour(&event.kind), ANSI_DIM, ANSI_RESET)
             } else {
                 ("", "", "")
             };
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -17,12 +17,12 @@
 
 use crate::support;
 
-const KEY: &str = "the group's own key";
+const GROUP_KEY: &str = "the group's own key";
 
 async fn start_control_with_key() -> fleet::Fleet {
     let mut fleet = fleet::Fleet::new(support::DAEMON);
     let file = fleet.folder().join("key");
-    std::fs::write(&file, KEY).expect("the folder is writable");
+    std::fs::write(&file, GROUP_KEY).expect("the folder is writable");
     fleet.add_controls("brasov-a", &["control-1"]).await;
     fleet.instance("control-1").settings["group_key_file"] = json!(file);
     fleet.start(&["control-1"], &["--bootstrap"]).await;
@@ -89,7 +89,7 @@
     let mut stream = TcpStream::connect(address)
         .await
         .expect("the control listens");
-    let opened = credentials(KEY).open(&mut stream, purpose).await;
+    let opened = credentials(GROUP_KEY).open(&mut stream, purpose).await;
     assert_eq!(
         opened.expect("the key is right").instance.as_str(),
         "control-1"
@@ -104,7 +104,7 @@
         .await
         .expect("the control listens");
     let purpose = wire::LinkPurpose::Messages;
-    credentials(KEY)
+    credentials(GROUP_KEY)
         .open(&mut healthy, purpose)
         .await
         .expect("the key is right");
@@ -128,7 +128,7 @@
             .await
             .expect("the control listens");
         if is_authenticated {
-            let handshake_result = credentials(KEY).open(&mut stream, purpose).await;
+            let handshake_result = credentials(GROUP_KEY).open(&mut stream, purpose).await;
             handshake_result.expect("the key is right");
         }
         stream
--- a/tests/all/rollouts.rs
+++ b/tests/all/rollouts.rs
@@ -18,7 +18,7 @@
 /// Calls sent after the end of a rollout to check which targets they reach.
 const CHECKED_CALLS: u64 = 50;
 /// Calls that a failing version may get on top of a tenth of all calls.
-const CANARY_SLACK: usize = 50;
+const CANARY_SLACK_CALLS: usize = 50;
 
 /// Starts targets with the given names and software version.
 async fn start_targets(
@@ -186,7 +186,7 @@
     assert!(reasons.iter().any(|reason| text.contains(reason)), "{text}");
     assert!(text.contains("0% of the old version's"), "{text}");
     let (at_old, at_new) = (run_count(&old), run_count(&new));
-    let bound = (at_old + at_new) / 10 + CANARY_SLACK;
+    let bound = (at_old + at_new) / 10 + CANARY_SLACK_CALLS;
     assert!(
         at_new <= bound,
         "the failing version got {at_new} calls, the old one {at_old}"
