--- a/crates/catalogue/src/check.rs
+++ b/crates/catalogue/src/check.rs
@@ -9,7 +9,7 @@
 pub type EntryMap = IndexMap<entry::EntryKey, entry::CatalogueEntry>;
 
 /// Borrowed entries by key, which may come from several collections.
-pub type EntryView<'a> = IndexMap<&'a entry::EntryKey, &'a entry::CatalogueEntry>;
+pub type EntryRefMap<'a> = IndexMap<&'a entry::EntryKey, &'a entry::CatalogueEntry>;
 
 /// Returns the faults of a change that do not depend on its result: an empty change, removals of
 /// missing entries and keys that occur twice.
@@ -46,7 +46,7 @@
 pub fn check_replacement(entries: &[entry::CatalogueEntry]) -> Vec<change::CatalogueFault> {
     let keys: Vec<entry::EntryKey> = entries.iter().map(entry::CatalogueEntry::key).collect();
     let mut faults = check_duplicates(keys.iter().cloned());
-    let view: EntryView = keys.iter().zip(entries).collect();
+    let view: EntryRefMap = keys.iter().zip(entries).collect();
     faults.extend(check_view(&view, &[]));
     faults
 }
@@ -73,7 +73,10 @@
 /// Returns the same faults as [`check_entries`], for borrowed entries. `removed` lists the keys
 /// that the change removes, so that a reference to one of them is reported as such and not as a
 /// reference to an entry that never existed.
-pub fn check_view(entries: &EntryView, removed: &[entry::EntryKey]) -> Vec<change::CatalogueFault> {
+pub fn check_view(
+    entries: &EntryRefMap,
+    removed: &[entry::EntryKey],
+) -> Vec<change::CatalogueFault> {
     let mut faults = Vec::new();
     for (&key, &entry) in entries {
         check_ranges(key, entry, &mut faults);
@@ -201,7 +204,7 @@
 }
 
 fn check_references(
-    entries: &EntryView,
+    entries: &EntryRefMap,
     removed: &[entry::EntryKey],
     key: &entry::EntryKey,
     entry: &entry::CatalogueEntry,
@@ -238,7 +241,7 @@
     }
 }
 
-fn check_shares(entries: &EntryView, faults: &mut Vec<change::CatalogueFault>) {
+fn check_shares(entries: &EntryRefMap, faults: &mut Vec<change::CatalogueFault>) {
     let share = |entry: &entry::CatalogueEntry| match entry {
         entry::CatalogueEntry::Class(class) => class.limits.guaranteed_share,
         _ => 0.0,
@@ -251,7 +254,7 @@
     }
 }
 
-fn check_routes(entries: &EntryView, faults: &mut Vec<change::CatalogueFault>) {
+fn check_routes(entries: &EntryRefMap, faults: &mut Vec<change::CatalogueFault>) {
     let routes: Vec<&entry::RouteEntry> = entries
         .values()
         .copied()
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -52,7 +52,7 @@
     /// Returns all faults of a change to this state.
     pub fn check(&self, set: &change::ChangeSet) -> Vec<change::CatalogueFault> {
         let mut faults = check::check_set(self, set);
-        let mut entries: check::EntryView = self.entries.iter().collect();
+        let mut entries: check::EntryRefMap = self.entries.iter().collect();
         for key in &set.remove {
             entries.swap_remove(key);
         }
--- a/crates/daemon/src/byte_counts.rs
+++ b/crates/daemon/src/byte_counts.rs
@@ -35,7 +35,7 @@
 type CategoryCounts = IndexMap<&'static str, ByteCount>;
 
 #[derive(Debug, Default)]
-struct CountTable {
+struct ByteCountTable {
     sent: IndexMap<SocketAddr, CategoryCounts>,
     /// Counts of links that no longer have counts of their own.
     sent_remainder: CategoryCounts,
@@ -45,7 +45,7 @@
 /// The counts of a process, shared by its links and listeners.
 #[derive(Debug, Clone, Default)]
 pub struct ByteCounts {
-    table: Arc<Mutex<CountTable>>,
+    table: Arc<Mutex<ByteCountTable>>,
 }
 
 /// Totals over all links, by traffic category.
@@ -110,7 +110,7 @@
 }
 
 /// Merges the counts of the link with the fewest bytes into the remainder.
-fn evict_smallest(table: &mut CountTable) {
+fn evict_smallest(table: &mut ByteCountTable) {
     let total = |counts: &CategoryCounts| counts.values().map(|count| count.bytes).sum::<u64>();
     let smallest = table.sent.iter().min_by_key(|(_, counts)| total(counts));
     let Some(address) = smallest.map(|(address, _)| *address) else {
--- a/crates/daemon/src/engine_actor.rs
+++ b/crates/daemon/src/engine_actor.rs
@@ -28,7 +28,7 @@
 pub type CallEffects = mpsc::UnboundedReceiver<calls::CallEffect>;
 
 /// A closure that reads the state of the reducer.
-type Inspection = Box<dyn FnOnce(&reducer::EngineState) + Send>;
+type StateInspection = Box<dyn FnOnce(&reducer::EngineState) + Send>;
 
 /// A message to the actor.
 pub enum EngineInput {
@@ -65,7 +65,7 @@
         reply: oneshot::Sender<replication::ProposalAnswer>,
     },
     /// Runs a closure on the state.
-    Inspect(Inspection),
+    Inspect(StateInspection),
 }
 
 impl std::fmt::Debug for EngineInput {
--- a/crates/daemon/src/http1.rs
+++ b/crates/daemon/src/http1.rs
@@ -129,9 +129,9 @@
     } = reading;
     drop(responses);
     match end {
-        Some(ReadEnd::Disconnected) => return,
+        Some(ReadStopReason::Disconnected) => return,
         // No further requests are read, but pending responses are still written.
-        Some(ReadEnd::Finished) => tokio::select! {
+        Some(ReadStopReason::Finished) => tokio::select! {
             () = write => {}
             () = wait_for_close(&mut reader) => return,
         },
@@ -165,7 +165,7 @@
 }
 
 /// Why the reader of a connection stopped.
-enum ReadEnd {
+enum ReadStopReason {
     /// The caller has disconnected, or the writer has stopped.
     Disconnected,
     /// No further requests are accepted. Those already read are answered.
@@ -184,7 +184,7 @@
 }
 
 impl<R: AsyncRead + Unpin, S: CallHandler> ConnectionReader<'_, R, S> {
-    async fn run(&mut self) -> ReadEnd {
+    async fn run(&mut self) -> ReadStopReason {
         loop {
             let head = match self.next_head().await {
                 Ok(head) => head,
@@ -195,13 +195,13 @@
                 return end;
             }
             if is_last {
-                return ReadEnd::Finished;
+                return ReadStopReason::Finished;
             }
         }
     }
 
     /// Reads the next request head.
-    async fn next_head(&mut self) -> Result<head::RequestHead, ReadEnd> {
+    async fn next_head(&mut self) -> Result<head::RequestHead, ReadStopReason> {
         let mut head_started_at = None;
         loop {
             if !self.buffer.is_empty() {
@@ -223,16 +223,16 @@
             tokio::select! {
                 count = self.reader.read_buf(&mut self.buffer) => match count {
                     Ok(1..) => {}
-                    _ => return Err(ReadEnd::Disconnected),
+                    _ => return Err(ReadStopReason::Disconnected),
                 },
                 () = time::sleep_until(deadline), if has_partial_head || is_idle => {
                     if has_partial_head {
                         return Err(self.enqueue_error(StatusCode::REQUEST_TIMEOUT).await);
                     }
-                    return Err(ReadEnd::Finished);
+                    return Err(ReadStopReason::Finished);
                 }
                 () = closing.wait_for_phase(drain::DrainPhase::Closing), if !has_partial_head => {
-                    return Err(ReadEnd::Finished);
+                    return Err(ReadStopReason::Finished);
                 }
             }
         }
@@ -240,12 +240,12 @@
 
     /// Spawns the handler of a request and reads its body. A request that follows the last response
     /// of the connection is discarded: its caller has to send it again on another connection.
-    async fn dispatch(&mut self, head: head::RequestHead) -> Option<ReadEnd> {
+    async fn dispatch(&mut self, head: head::RequestHead) -> Option<ReadStopReason> {
         if self.progress.is_closing.load(Ordering::Relaxed) {
-            return Some(ReadEnd::Finished);
+            return Some(ReadStopReason::Finished);
         }
         if head.expects_continue && self.enqueue(QueuedResponse::Continue).await.is_err() {
-            return Some(ReadEnd::Disconnected);
+            return Some(ReadStopReason::Disconnected);
         }
         let (sender, body) = body::open(head.framing, &mut self.buffer);
         let options = head.options;
@@ -258,7 +258,7 @@
             .await
             .is_err()
         {
-            return Some(ReadEnd::Disconnected);
+            return Some(ReadStopReason::Disconnected);
         }
         match sender {
             Some(sender) => self.read_body(sender).await,
@@ -266,34 +266,34 @@
         }
     }
 
-    async fn read_body(&mut self, mut sender: body::BodySender) -> Option<ReadEnd> {
+    async fn read_body(&mut self, mut sender: body::BodySender) -> Option<ReadStopReason> {
         loop {
             match sender.feed(&mut self.buffer).await {
                 Ok(body::BodyProgress::Complete) => return None,
                 Ok(body::BodyProgress::Incomplete) => {}
                 // The handler has been notified. The start of the next request is unknown.
-                Err(body::FramingError) => return Some(ReadEnd::Finished),
+                Err(body::FramingError) => return Some(ReadStopReason::Finished),
             }
             self.buffer.reserve(MIN_READ_BUFFER_BYTES);
             match self.reader.read_buf(&mut self.buffer).await {
                 Ok(1..) => {}
                 _ => {
                     sender.abort().await;
-                    return Some(ReadEnd::Disconnected);
+                    return Some(ReadStopReason::Disconnected);
                 }
             }
         }
     }
 
-    async fn enqueue_error(&mut self, status: StatusCode) -> ReadEnd {
+    async fn enqueue_error(&mut self, status: StatusCode) -> ReadStopReason {
         match self.enqueue(QueuedResponse::Error(status)).await {
-            Ok(()) => ReadEnd::Finished,
+            Ok(()) => ReadStopReason::Finished,
             Err(end) => end,
         }
     }
 
     /// Queues a response. While the queue is full, keeps reading to detect a disconnect.
-    async fn enqueue(&mut self, response: QueuedResponse) -> Result<(), ReadEnd> {
+    async fn enqueue(&mut self, response: QueuedResponse) -> Result<(), ReadStopReason> {
         let responses = self.responses.clone();
         let mut permit = std::pin::pin!(responses.reserve());
         loop {
@@ -303,7 +303,7 @@
                 biased;
                 granted = &mut permit => {
                     let Ok(granted) = granted else {
-                        return Err(ReadEnd::Disconnected);
+                        return Err(ReadStopReason::Disconnected);
                     };
                     self.progress.pending.fetch_add(1, Ordering::Relaxed);
                     granted.send(response);
@@ -311,7 +311,7 @@
                 }
                 count = self.reader.read_buf(&mut self.buffer), if has_room => match count {
                     Ok(1..) => {}
-                    _ => return Err(ReadEnd::Disconnected),
+                    _ => return Err(ReadStopReason::Disconnected),
                 },
             }
         }
--- a/crates/daemon/src/http1/body.rs
+++ b/crates/daemon/src/http1/body.rs
@@ -124,9 +124,9 @@
                 },
             };
             match step {
-                FeedStep::Complete => return Ok(BodyProgress::Complete),
-                FeedStep::Incomplete => return Ok(BodyProgress::Incomplete),
-                FeedStep::Next(state) => self.state = state,
+                BodyDecodeStep::Complete => return Ok(BodyProgress::Complete),
+                BodyDecodeStep::Incomplete => return Ok(BodyProgress::Incomplete),
+                BodyDecodeStep::Next(state) => self.state = state,
             }
         }
     }
@@ -136,25 +136,25 @@
         self.send(Err(BodyReadError::Disconnected.into())).await;
     }
 
-    async fn feed_length(&self, remaining: u64, buffer: &mut BytesMut) -> FeedStep {
+    async fn feed_length(&self, remaining: u64, buffer: &mut BytesMut) -> BodyDecodeStep {
         if remaining == 0 {
-            return FeedStep::Complete;
+            return BodyDecodeStep::Complete;
         }
         let count = remaining.min(buffer.len() as u64);
         if count == 0 {
-            return FeedStep::Incomplete;
+            return BodyDecodeStep::Incomplete;
         }
         let data = buffer.split_to(count as usize).freeze();
         self.send(Ok(Frame::data(data))).await;
-        FeedStep::Next(BodyState::Length(remaining - count))
+        BodyDecodeStep::Next(BodyState::Length(remaining - count))
     }
 
     async fn feed_chunk(
         &self,
         state: ChunkState,
         buffer: &mut BytesMut,
-    ) -> Result<FeedStep, FramingError> {
-        let next = |state| FeedStep::Next(BodyState::Chunked(state));
+    ) -> Result<BodyDecodeStep, FramingError> {
+        let next = |state| BodyDecodeStep::Next(BodyState::Chunked(state));
         match state {
             ChunkState::Size => match httparse::parse_chunk_size(buffer) {
                 Ok(httparse::Status::Complete((length, size))) => {
@@ -165,7 +165,7 @@
                     }))
                 }
                 Ok(httparse::Status::Partial) if buffer.len() <= MAX_SIZE_LINE_BYTES => {
-                    Ok(FeedStep::Incomplete)
+                    Ok(BodyDecodeStep::Incomplete)
                 }
                 _ => Err(FramingError),
             },
@@ -173,13 +173,13 @@
             ChunkState::Data(remaining) => {
                 let count = remaining.min(buffer.len() as u64);
                 if count == 0 {
-                    return Ok(FeedStep::Incomplete);
+                    return Ok(BodyDecodeStep::Incomplete);
                 }
                 let data = buffer.split_to(count as usize).freeze();
                 self.send(Ok(Frame::data(data))).await;
                 Ok(next(ChunkState::Data(remaining - count)))
             }
-            ChunkState::DataEnd if buffer.len() < 2 => Ok(FeedStep::Incomplete),
+            ChunkState::DataEnd if buffer.len() < 2 => Ok(BodyDecodeStep::Incomplete),
             ChunkState::DataEnd if buffer.starts_with(b"\r\n") => {
                 buffer.advance(2);
                 Ok(next(ChunkState::Size))
@@ -189,12 +189,12 @@
         }
     }
 
-    async fn feed_trailers(&self, buffer: &mut BytesMut) -> Result<FeedStep, FramingError> {
+    async fn feed_trailers(&self, buffer: &mut BytesMut) -> Result<BodyDecodeStep, FramingError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_TRAILERS];
         let (length, trailers) = match httparse::parse_headers(buffer, &mut headers) {
             Ok(httparse::Status::Complete((length, headers))) => (length, read_trailers(headers)),
             Ok(httparse::Status::Partial) if buffer.len() <= MAX_TRAILER_BYTES => {
-                return Ok(FeedStep::Incomplete);
+                return Ok(BodyDecodeStep::Incomplete);
             }
             _ => return Err(FramingError),
         };
@@ -203,7 +203,7 @@
         if !trailers.is_empty() {
             self.send(Ok(Frame::trailers(trailers))).await;
         }
-        Ok(FeedStep::Complete)
+        Ok(BodyDecodeStep::Complete)
     }
 
     /// Sends a frame to the handler. If the handler no longer reads the body, the frame is
@@ -214,7 +214,7 @@
 }
 
 /// Result of decoding one element of a body.
-enum FeedStep {
+enum BodyDecodeStep {
     Complete,
     Incomplete,
     Next(BodyState),
--- a/crates/daemon/src/observer/usage.rs
+++ b/crates/daemon/src/observer/usage.rs
@@ -27,27 +27,27 @@
     pub(super) attempts: u64,
     pub(super) offers: u64,
     /// Requests of callers that were refused.
-    refused_requests: CountedTime,
+    refused_requests: DurationTotal,
     /// Attempts of this node that the owner node of the target refused.
-    refused_attempts: CountedTime,
+    refused_attempts: DurationTotal,
     /// Offers of other nodes that this node refused.
-    refused_offers: CountedTime,
+    refused_offers: DurationTotal,
     /// Successful runs that ended within the target latency.
-    in_time: CountedTime,
+    in_time: DurationTotal,
     /// Successful runs that ended later.
-    late: CountedTime,
+    late: DurationTotal,
     /// Failed runs.
-    failed: CountedTime,
+    failed: DurationTotal,
 }
 
 /// A count and the total duration.
 #[derive(Debug, Default)]
-struct CountedTime {
+struct DurationTotal {
     count: u64,
     total: Duration,
 }
 
-impl CountedTime {
+impl DurationTotal {
     fn add(&mut self, duration: Duration) {
         self.count += 1;
         self.total += duration;
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -87,7 +87,7 @@
     /// Connections to other nodes.
     pub nodes: pool::NodePool,
     /// Measured transit times of offers from other nodes.
-    pub transit: transit::MeterTable,
+    pub transit: transit::TransitMeterTable,
     /// Connections to this node's targets.
     pub targets: pool::TargetPool,
     /// Protocols towards callers, targets and operators.
@@ -343,7 +343,7 @@
         in_force,
         bytes,
         nodes: pool::NodePool::new(credentials.clone()),
-        transit: transit::MeterTable::default(),
+        transit: transit::TransitMeterTable::default(),
         targets: pool::TargetPool::default(),
         dialects: options.dialects,
         caller: settings.caller_service.clone(),
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -17,7 +17,7 @@
 
 /// The settings file as it was last loaded.
 #[derive(Debug, Clone)]
-pub struct LoadedFile {
+pub struct LoadedSettingsFile {
     /// Path of the file.
     pub path: PathBuf,
     /// Text of the file when it was loaded. The file may have changed by the time that watching
@@ -30,10 +30,10 @@
 /// Watches the file and applies changes until the process stops.
 pub async fn watch(
     context: Arc<process::ProcessContext>,
-    file: LoadedFile,
+    file: LoadedSettingsFile,
     mut hangups: unix::Signal,
 ) {
-    let LoadedFile {
+    let LoadedSettingsFile {
         path,
         mut text,
         settings: mut current,
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -86,12 +86,12 @@
     last_sequence: u64,
     system: EventRing,
     calls: EventRing,
-    line_budget: LineBudget,
+    line_budget: LogLineBudget,
 }
 
 /// Rate limit on the log lines about calls.
 #[derive(Debug, Default)]
-struct LineBudget {
+struct LogLineBudget {
     second: u64,
     used: u32,
     suppressed: u64,
@@ -203,7 +203,7 @@
         }
         let second = time::WallTime::now().0 / MS_PER_SECOND;
         let admission = self.lock().line_budget.admit(records.len() as u32, second);
-        if let LineAdmission::AdmittedInNewSecond { suppressed } = admission
+        if let LogLineAdmission::AdmittedInNewSecond { suppressed } = admission
             && suppressed > 0
         {
             logging::write(&SuppressedLine {
@@ -213,7 +213,7 @@
                 count: suppressed,
             });
         }
-        if admission != LineAdmission::Suppressed {
+        if admission != LogLineAdmission::Suppressed {
             for record in records {
                 self.log(record);
             }
@@ -256,7 +256,7 @@
 
 /// Whether lines may be logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LineAdmission {
+enum LogLineAdmission {
     Admitted,
     /// They may be logged, and are the first ones in a new second.
     AdmittedInNewSecond {
@@ -266,8 +266,8 @@
     Suppressed,
 }
 
-impl LineBudget {
-    fn admit(&mut self, lines: u32, second: u64) -> LineAdmission {
+impl LogLineBudget {
+    fn admit(&mut self, lines: u32, second: u64) -> LogLineAdmission {
         if second != self.second {
             let suppressed = self.suppressed;
             *self = Self {
@@ -275,14 +275,14 @@
                 used: lines,
                 ..Self::default()
             };
-            return LineAdmission::AdmittedInNewSecond { suppressed };
+            return LogLineAdmission::AdmittedInNewSecond { suppressed };
         }
         if self.used >= MAX_CALL_LINES_PER_SECOND {
             self.suppressed += u64::from(lines);
-            return LineAdmission::Suppressed;
+            return LogLineAdmission::Suppressed;
         }
         self.used += lines;
-        LineAdmission::Admitted
+        LogLineAdmission::Admitted
     }
 }
 
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -410,9 +410,9 @@
     let capacity = service.map_or(0, |service| service.limits.queue as usize);
     let admission = &mut state.admission.targets[&offer.target];
     let displaced = match admission.queue.make_room(params, offer.cost, capacity) {
-        queue::CapacityResult::Free => None,
-        queue::CapacityResult::Displaced(displaced) => Some(displaced.call),
-        queue::CapacityResult::Full => {
+        queue::QueueEvictionResult::Free => None,
+        queue::QueueEvictionResult::Displaced(displaced) => Some(displaced.call),
+        queue::QueueEvictionResult::Full => {
             let field = if capacity == 0 {
                 wire::LimitField::Slots
             } else {
--- a/crates/engine/src/admission/queue.rs
+++ b/crates/engine/src/admission/queue.rs
@@ -161,7 +161,7 @@
 
 /// Outcome of making room in the queue for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CapacityResult {
+pub enum QueueEvictionResult {
     /// The queue has a free place.
     Free,
     /// This queued call lost its place to the arriving one.
@@ -265,9 +265,9 @@
         params: &SchedulingParams,
         cost: u32,
         capacity: usize,
-    ) -> CapacityResult {
+    ) -> QueueEvictionResult {
         if self.len() < capacity {
-            return CapacityResult::Free;
+            return QueueEvictionResult::Free;
         }
         let arriving_class = self.class_mut(params);
         let is_within_reserve = arriving_class.len() < arriving_class.reserved_places(capacity);
@@ -285,7 +285,7 @@
             Some(yielding) => self.classes[&yielding].drop_last(),
             None => self.displace_within_class(params, cost),
         };
-        displaced.map_or(CapacityResult::Full, CapacityResult::Displaced)
+        displaced.map_or(QueueEvictionResult::Full, QueueEvictionResult::Displaced)
     }
 
     /// Returns the expected run time of the queued calls that would start before a call that
--- a/crates/engine/src/calls/ingress.rs
+++ b/crates/engine/src/calls/ingress.rs
@@ -51,7 +51,7 @@
     arrival: &calls::CallArrival,
 ) -> Result<calls::IngressCall, code::ResultCode> {
     let standing = quarantine::standing(state, arrival.fingerprint.as_ref());
-    if standing == quarantine::RequestStanding::Quarantined {
+    if standing == quarantine::CrashSuspicion::Quarantined {
         return Err(code::ResultCode::RequestQuarantined);
     }
     let catalogue = Arc::clone(&state.dissemination.in_force);
--- a/crates/engine/src/calls/transit.rs
+++ b/crates/engine/src/calls/transit.rs
@@ -89,13 +89,13 @@
 
 /// Meters of all peers.
 #[derive(Debug, Default)]
-pub struct MeterTable {
+pub struct TransitMeterTable {
     /// Meters by peer, each with the incarnation that it measures: a new incarnation may run on a
     /// machine that rebooted, whose boot clock started anew.
     meters: Mutex<IndexMap<ids::InstanceName, (ids::IncarnationNumber, SharedMeter)>>,
 }
 
-impl MeterTable {
+impl TransitMeterTable {
     /// Returns the meter of an incarnation of a peer.
     pub fn of_peer(
         &self,
--- a/crates/engine/src/dissemination/child.rs
+++ b/crates/engine/src/dissemination/child.rs
@@ -252,11 +252,11 @@
     output: &mut event::ReducerOutput,
 ) -> bool {
     match version::catch_up(state, base) {
-        version::CatchUp::Delta(delta) => {
+        version::CatalogueUpdate::Delta(delta) => {
             dissemination::send(output, to, wire::DisseminationMessage::Delta(delta));
             true
         }
-        version::CatchUp::Snapshot => send_snapshot(state, to, output),
+        version::CatalogueUpdate::Snapshot => send_snapshot(state, to, output),
     }
 }
 
--- a/crates/engine/src/dissemination/floor.rs
+++ b/crates/engine/src/dissemination/floor.rs
@@ -140,7 +140,7 @@
     output: &mut event::ReducerOutput,
 ) {
     let proof = proof(state);
-    if proof == wire::FloorProof::Control {
+    if proof == wire::FloorAnswerSource::Control {
         let pending_queries = &mut state.dissemination.floor.pending_queries;
         if pending_queries.len() < MAX_PENDING_QUERIES {
             pending_queries.insert(from.address);
@@ -159,29 +159,29 @@
         return;
     }
     for to in std::mem::take(&mut state.dissemination.floor.pending_queries) {
-        send_answer(state, to, wire::FloorProof::Majority, output);
+        send_answer(state, to, wire::FloorAnswerSource::Majority, output);
     }
 }
 
 /// Returns what this process can prove about the version that it reports.
-fn proof(state: &reducer::EngineState) -> wire::FloorProof {
+fn proof(state: &reducer::EngineState) -> wire::FloorAnswerSource {
     if state.settings.identity.is_control {
         if replication::is_proven_current(state) {
-            wire::FloorProof::Majority
+            wire::FloorAnswerSource::Majority
         } else {
-            wire::FloorProof::Control
+            wire::FloorAnswerSource::Control
         }
     } else if state.dissemination.floor.is_met(state) {
-        wire::FloorProof::Peer
+        wire::FloorAnswerSource::Peer
     } else {
-        wire::FloorProof::Asking
+        wire::FloorAnswerSource::Asking
     }
 }
 
 fn send_answer(
     state: &reducer::EngineState,
     to: SocketAddr,
-    proof: wire::FloorProof,
+    proof: wire::FloorAnswerSource,
     output: &mut event::ReducerOutput,
 ) {
     let answer = wire::FloorAnswer {
@@ -223,8 +223,8 @@
     let has_waited_for_peers = floor
         .peers_asked_at
         .is_some_and(|since| state.now.since(since) >= wait_time);
-    let has_peers = has_proof(wire::FloorProof::Peer) && has_waited_for_peers;
-    if has_proof(wire::FloorProof::Majority) || has_majority || has_peers {
+    let has_peers = has_proof(wire::FloorAnswerSource::Peer) && has_waited_for_peers;
+    if has_proof(wire::FloorAnswerSource::Majority) || has_majority || has_peers {
         let versions = answers().map(|(_, answer)| answer.version);
         state.dissemination.floor.minimum = versions.max();
     }
--- a/crates/engine/src/dissemination/version.rs
+++ b/crates/engine/src/dissemination/version.rs
@@ -52,7 +52,7 @@
 
 /// An update that brings a receiver to the version in force.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CatchUp {
+pub enum CatalogueUpdate {
     /// The missing changes.
     Delta(delta::CatalogueDelta),
     /// The whole catalogue.
@@ -61,12 +61,12 @@
 
 /// Chooses how to bring a receiver from a version to the one in force: a delta if the missing
 /// changes are in the history and smaller than a snapshot, else a snapshot.
-pub fn catch_up(state: &mut reducer::EngineState, from: ids::CatalogueVersion) -> CatchUp {
+pub fn catch_up(state: &mut reducer::EngineState, from: ids::CatalogueVersion) -> CatalogueUpdate {
     let dissemination = &mut state.dissemination;
     let missing = (dissemination.in_force.version.0 - from.0) as usize;
     let history = &mut dissemination.history;
     if missing > history.steps.len() || missing > MAX_DELTA_STEPS {
-        return CatchUp::Snapshot;
+        return CatalogueUpdate::Snapshot;
     }
     let first = history.steps.len() - missing;
     let delta = delta::CatalogueDelta {
@@ -81,10 +81,10 @@
         };
         history.snapshot_size = Some((dissemination.in_force.version, size));
         if codec::encode_body(&delta).len() > size {
-            return CatchUp::Snapshot;
+            return CatalogueUpdate::Snapshot;
         }
     }
-    CatchUp::Delta(delta)
+    CatalogueUpdate::Delta(delta)
 }
 
 /// Accepts a version that this control's log has committed.
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -30,7 +30,7 @@
 
 /// Whether a request is suspected of crashing targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RequestStanding {
+pub enum CrashSuspicion {
     /// No crash is attributed to it.
     Clear,
     /// It was in flight at one crash, and runs isolated: its target runs no other call meanwhile.
@@ -103,22 +103,22 @@
 pub fn standing(
     state: &reducer::EngineState,
     request: Option<&wire_ledger::RequestDigest>,
-) -> RequestStanding {
+) -> CrashSuspicion {
     if state.quarantine.attributions.is_empty() {
-        return RequestStanding::Clear;
+        return CrashSuspicion::Clear;
     }
     let attribution = request.and_then(|request| state.quarantine.attributions.get(request));
     let Some(attribution) = attribution else {
-        return RequestStanding::Clear;
+        return CrashSuspicion::Clear;
     };
     let age = state.now.since(attribution.last_crash_at);
     let tunables = &state.settings.tunables.quarantine;
     if attribution.crashes >= QUARANTINE_CRASHES && age < settings::millis(tunables.refuse_ms) {
-        RequestStanding::Quarantined
+        CrashSuspicion::Quarantined
     } else if age < settings::millis(tunables.suspect_ms) {
-        RequestStanding::Suspect
+        CrashSuspicion::Suspect
     } else {
-        RequestStanding::Clear
+        CrashSuspicion::Clear
     }
 }
 
@@ -139,13 +139,13 @@
         })
     };
     match standing(state, offer.fingerprint.as_ref()) {
-        RequestStanding::Quarantined => {
+        CrashSuspicion::Quarantined => {
             let code = code::ResultCode::RequestQuarantined;
             Some(wire_calls::CallRefusal::not_run(code))
         }
         _ if state.quarantine.runs_isolated(&offer.target) => refuse_elsewhere(),
-        RequestStanding::Clear => None,
-        RequestStanding::Suspect => {
+        CrashSuspicion::Clear => None,
+        CrashSuspicion::Suspect => {
             let admission = state.admission.targets.get(&offer.target);
             if admission.is_some_and(|admission| admission.running > 0) {
                 return refuse_elsewhere();
--- a/crates/engine/src/rollout.rs
+++ b/crates/engine/src/rollout.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct RolloutState {
     /// Run counts of the own targets.
-    pub tallies: tally::TallyTable,
+    pub tallies: tally::RunTallyTable,
     /// On the leader: run counts of all targets, by service.
     pub evidence: IndexMap<ids::EntryName, evidence::RolloutEvidence>,
     /// Local state of the rollouts in the catalogue, by service.
--- a/crates/engine/src/rollout/tally.rs
+++ b/crates/engine/src/rollout/tally.rs
@@ -32,13 +32,13 @@
 
 /// Run counts of the own targets whose services have a running rollout.
 #[derive(Debug, Clone, Default)]
-pub struct TallyTable {
+pub struct RunTallyTable {
     targets: IndexMap<ids::TargetName, OwnTargetTally>,
     /// Number of the latest report message.
     sequence: u64,
 }
 
-impl TallyTable {
+impl RunTallyTable {
     /// Returns the counts of a target, which restart from zero for another order or version.
     pub fn target_tally(
         &mut self,
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -101,11 +101,11 @@
     /// Ready targets by service.
     pub table: table::TargetTable,
     /// Mean body size of the calls by route.
-    pub sizes: size::RouteSizes,
+    pub sizes: size::RouteBodySizes,
     /// Cost of an offer that another node refuses.
-    pub offer_cost: offer::OfferCost,
+    pub offer_cost: offer::RefusedOfferCost,
     /// Mean load from other nodes per slot, by service.
-    pub service_loads: mean_load::ServiceLoads,
+    pub service_loads: mean_load::ServiceMeanLoads,
     /// Load and health of each ready target.
     pub views: IndexMap<ids::TargetName, TargetView>,
 }
--- a/crates/engine/src/routing/mean_load.rs
+++ b/crates/engine/src/routing/mean_load.rs
@@ -13,9 +13,9 @@
 
 /// Exponential moving average of the requests of other nodes per slot, by service.
 #[derive(Debug, Clone, Default)]
-pub struct ServiceLoads(IndexMap<ids::EntryName, f64>);
+pub struct ServiceMeanLoads(IndexMap<ids::EntryName, f64>);
 
-impl ServiceLoads {
+impl ServiceMeanLoads {
     /// Records the load that one report gives, in requests of other nodes per slot.
     pub fn record(&mut self, service: &ids::EntryName, requests_per_slot: f64) {
         match self.0.get_mut(service) {
--- a/crates/engine/src/routing/offer.rs
+++ b/crates/engine/src/routing/offer.rs
@@ -18,15 +18,15 @@
 
 /// Exponential moving average of the time from an offer until it is refused, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct OfferCost(f64);
+pub struct RefusedOfferCost(f64);
 
-impl Default for OfferCost {
+impl Default for RefusedOfferCost {
     fn default() -> Self {
         Self(INITIAL_COST_S)
     }
 }
 
-impl OfferCost {
+impl RefusedOfferCost {
     /// Records the duration of an offer that was refused without queueing.
     pub fn record(&mut self, duration: Duration) {
         let sample_s = duration.as_secs_f64().min(MAX_COST_SAMPLE_S);
--- a/crates/engine/src/routing/size.rs
+++ b/crates/engine/src/routing/size.rs
@@ -16,9 +16,9 @@
 
 /// Exponential moving average of the body bytes of a call, by route.
 #[derive(Debug, Clone, Default)]
-pub struct RouteSizes(IndexMap<ids::EntryName, f64>);
+pub struct RouteBodySizes(IndexMap<ids::EntryName, f64>);
 
-impl RouteSizes {
+impl RouteBodySizes {
     /// Records the body bytes of one call.
     pub fn record(&mut self, route: &ids::EntryName, bytes: u64) {
         let bytes = bytes as f64;
--- a/crates/engine/tests/dissemination.rs
+++ b/crates/engine/tests/dissemination.rs
@@ -314,9 +314,12 @@
         |from: u64| dissemination::version::catch_up(state, ids::CatalogueVersion(from));
     assert!(matches!(
         catch_up(1),
-        dissemination::version::CatchUp::Delta(_)
+        dissemination::version::CatalogueUpdate::Delta(_)
     ));
-    assert_eq!(catch_up(0), dissemination::version::CatchUp::Snapshot);
+    assert_eq!(
+        catch_up(0),
+        dissemination::version::CatalogueUpdate::Snapshot
+    );
 }
 
 #[test]
--- a/crates/engine/tests/expected.rs
+++ b/crates/engine/tests/expected.rs
@@ -11,12 +11,12 @@
 
 const SLOTS_PER_TARGET: u32 = 6;
 
-struct Ingress {
+struct IngressNode {
     node: node::NodeReducer,
     last_call: u64,
 }
 
-impl Ingress {
+impl IngressNode {
     /// Creates targets given as (name, data centre, run time in milliseconds); each reports its run
     /// time once.
     fn new(targets: &[(&str, &str, u32)]) -> Self {
@@ -95,7 +95,7 @@
 
 #[test]
 fn fast_first() {
-    let mut ingress = Ingress::new(&[("slow", "brasov-a", 300), ("fast", "brasov-a", 100)]);
+    let mut ingress = IngressNode::new(&[("slow", "brasov-a", 300), ("fast", "brasov-a", 100)]);
     let spread = ingress.spread(6);
     assert!(spread["fast"] >= 5, "{spread:?}");
     // Twelve calls queued at the fast target wait 200 ms, which is the difference in run time.
@@ -107,7 +107,7 @@
 /// A target that also runs many short calls of another route must not count as fast for a long one.
 #[test]
 fn short_runs_not_speed() {
-    let mut ingress = Ingress::new(&[("mixed", "brasov-a", 100), ("plain", "brasov-a", 100)]);
+    let mut ingress = IngressNode::new(&[("mixed", "brasov-a", 100), ("plain", "brasov-a", 100)]);
     ingress.report_of_route("mixed", SLOTS_PER_TARGET, 20_000, 100_000);
     ingress.report_of_route("plain", SLOTS_PER_TARGET - 2, 100_000, 100_000);
     let spread = ingress.spread(2);
@@ -120,7 +120,7 @@
 
 #[test]
 fn near_first() {
-    let mut ingress = Ingress::new(&[("near", "brasov-a", 100), ("far", "sibiu-a", 100)]);
+    let mut ingress = IngressNode::new(&[("near", "brasov-a", 100), ("far", "sibiu-a", 100)]);
     let spread = ingress.spread(4);
     assert_eq!(spread, IndexMap::from([("near".into(), 4)]));
     ingress.report("near", 3 * SLOTS_PER_TARGET, 100_000);
@@ -133,7 +133,7 @@
 #[test]
 fn next_place_free() {
     let names = ["one", "two", "three"];
-    let mut ingress = Ingress::new(&names.map(|name| (name, "brasov-a", 100)));
+    let mut ingress = IngressNode::new(&names.map(|name| (name, "brasov-a", 100)));
     let mut plan = ingress.arrive();
     let call = ids::CallId(ingress.last_call);
     let mut attempted = vec![plan.offer.target.to_string()];
@@ -166,7 +166,7 @@
     ingress.node.advance(Duration::from_millis(20));
 }
 
-impl Ingress {
+impl IngressNode {
     /// Sends 20 calls to which a near target responds with a body of `bytes`.
     fn respond(&mut self, bytes: u64) {
         for _ in 0..20 {
@@ -201,7 +201,7 @@
 #[test]
 fn large_stay_near() {
     for (bytes, expected) in [(200, "far"), (20_000, "near")] {
-        let mut ingress = Ingress::new(&[("near", "brasov-a", 100), ("far", "sibiu-a", 100)]);
+        let mut ingress = IngressNode::new(&[("near", "brasov-a", 100), ("far", "sibiu-a", 100)]);
         ingress.respond(bytes);
         ingress.report("near", 2 * SLOTS_PER_TARGET - 2, 100_000);
         ingress.report("far", 0, 100_000);
@@ -214,7 +214,7 @@
 /// offers a call elsewhere only if that saves more queue wait than an offer costs.
 #[test]
 fn costly_offers() {
-    let mut ingress = Ingress::new(&[("other", "brasov-a", 100)]);
+    let mut ingress = IngressNode::new(&[("other", "brasov-a", 100)]);
     ingress
         .node
         .announce(node::target("own", "registru", SLOTS_PER_TARGET));
@@ -224,7 +224,7 @@
         "own",
         "its own target needs no offer"
     );
-    let mut cheap = Ingress::new(&[("one", "brasov-a", 100), ("two", "brasov-a", 100)]);
+    let mut cheap = IngressNode::new(&[("one", "brasov-a", 100), ("two", "brasov-a", 100)]);
     let before = cheap.arrive().offer.patience_ms;
     for _ in 0..60 {
         cheap.refuse_after(Duration::from_millis(80));
@@ -239,7 +239,7 @@
 /// that was not used for longest does not seem idle.
 #[test]
 fn old_reports_decay() {
-    let mut ingress = Ingress::new(&[("old", "brasov-a", 100), ("new", "brasov-a", 100)]);
+    let mut ingress = IngressNode::new(&[("old", "brasov-a", 100), ("new", "brasov-a", 100)]);
     ingress.report("old", 2 * SLOTS_PER_TARGET, 100_000);
     ingress.node.advance(Duration::from_secs(4));
     for _ in 0..40 {
--- a/crates/engine/tests/health.rs
+++ b/crates/engine/tests/health.rs
@@ -161,12 +161,12 @@
 }
 
 /// An ingress node with targets on other nodes.
-struct Ingress {
+struct IngressNode {
     node: node::NodeReducer,
     last_call: u64,
 }
 
-impl Ingress {
+impl IngressNode {
     fn new(targets: u32) -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries());
         for number in 0..targets {
@@ -245,7 +245,7 @@
 
 #[test]
 fn ejected_on_first_report() {
-    let mut ingress = Ingress::new(4);
+    let mut ingress = IngressNode::new(4);
     assert_eq!(ingress.call(100, 1), 1, "the first report ejects it");
     ingress.node.advance(Duration::from_secs(3));
     assert_eq!(
@@ -268,13 +268,13 @@
 
 #[test]
 fn ceiling_on_ejection() {
-    let mut ingress = Ingress::new(4);
+    let mut ingress = IngressNode::new(4);
     assert_eq!(
         ingress.call(200, 2),
         2,
         "half of the targets may be ejected"
     );
-    let mut ingress = Ingress::new(4);
+    let mut ingress = IngressNode::new(4);
     let failed = ingress.call(400, 3);
     assert!(
         failed > 200,
@@ -284,7 +284,7 @@
 
 #[test]
 fn ejected_on_failed_connection() {
-    let mut ingress = Ingress::new(2);
+    let mut ingress = IngressNode::new(2);
     let is_unreachable = |target: &str| target == "registru-0";
     let reached: Vec<bool> = (0..20).map(|_| ingress.reach(is_unreachable)).collect();
     let missed = reached.iter().filter(|reached| !**reached).count();
@@ -298,7 +298,7 @@
 /// selection, since each call there would wait for a connection in vain.
 #[test]
 fn cut_off_kept_away() {
-    let mut ingress = Ingress::new(4);
+    let mut ingress = IngressNode::new(4);
     let mut missed = 0;
     for _ in 0..200 {
         missed += u32::from(!ingress.reach(|target| target != "registru-3"));
@@ -311,7 +311,7 @@
 /// the connection.
 #[test]
 fn all_cut_off() {
-    let mut ingress = Ingress::new(1);
+    let mut ingress = IngressNode::new(1);
     let mut attempts = Vec::new();
     for number in 1..=300 {
         let call = ids::CallId(number);
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -55,7 +55,7 @@
     };
     let lookups = model::CallKind {
         caller_policy,
-        inner: Some(model::InnerCalls {
+        inner: Some(model::NestedCalls {
             kind: 2,
             count: 2,
             timing,
--- a/crates/engine/tests/replication.rs
+++ b/crates/engine/tests/replication.rs
@@ -13,7 +13,7 @@
 
 use hazeltiller_engine::replication;
 use hazeltiller_units::{code, ids};
-use hazeltiller_wire::dissemination::{FloorAnswer, FloorProof};
+use hazeltiller_wire::dissemination::{FloorAnswer, FloorAnswerSource};
 use network::FakeNetwork;
 use proptest::{collection, prelude::*, test_runner};
 
@@ -529,10 +529,10 @@
         network
             .floor_answers
             .iter()
-            .all(|floor| floor.proof == FloorProof::Control)
+            .all(|floor| floor.proof == FloorAnswerSource::Control)
     );
     network.settle(25);
-    let is_proven = |floor: &&FloorAnswer| floor.proof == FloorProof::Majority;
+    let is_proven = |floor: &&FloorAnswer| floor.proof == FloorAnswerSource::Majority;
     let proven = network.floor_answers.iter().find(is_proven);
     assert_eq!(
         proven.expect("a control has heard from a majority").version,
--- a/crates/engine/tests/retry.rs
+++ b/crates/engine/tests/retry.rs
@@ -22,12 +22,12 @@
     wire::CallRefusal::not_run(code)
 }
 
-struct Ingress {
+struct IngressNode {
     node: node::NodeReducer,
     last_call: u64,
 }
 
-impl Ingress {
+impl IngressNode {
     fn new(targets: u32) -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries());
         for number in 0..targets {
@@ -133,7 +133,7 @@
         ("GET", 2, answered(503), FollowUp::Forwarded),
     ];
     for (method, attempt, result, expected) in table {
-        let mut ingress = Ingress::new(3);
+        let mut ingress = IngressNode::new(3);
         ingress.arrive(method, attempt);
         let text = format!("{method} attempt {attempt} {result:?}");
         assert_eq!(follow_up(&ingress.end(result)), expected, "{text}");
@@ -156,7 +156,7 @@
         ),
     ];
     for (result, count, what) in table {
-        let mut ingress = Ingress::new(9);
+        let mut ingress = IngressNode::new(9);
         let mut attempted = Vec::new();
         let mut effect = ingress.arrive("GET", 1);
         while let calls::CallEffect::Attempt(_, plan) = &effect {
@@ -176,7 +176,7 @@
 
 #[test]
 fn proof_covers_all_tries() {
-    let mut ingress = Ingress::new(5);
+    let mut ingress = IngressNode::new(5);
     ingress.arrive("GET", 1);
     ingress.end(calls::AttemptResult::Lost);
     let full = refused(code::ResultCode::CapacityExceeded);
@@ -191,7 +191,7 @@
 
 #[test]
 fn no_target_left() {
-    let mut ingress = Ingress::new(1);
+    let mut ingress = IngressNode::new(1);
     ingress.arrive("GET", 1);
     let shed = calls::AttemptResult::Answered { status: 503 };
     assert_eq!(follow_up(&ingress.end(shed)), FollowUp::Forwarded);
@@ -199,7 +199,7 @@
 
 #[test]
 fn too_late() {
-    let mut ingress = Ingress::new(3);
+    let mut ingress = IngressNode::new(3);
     ingress.arrive("GET", 1);
     ingress.node.now = ingress.node.now + Duration::from_secs(5);
     let effect = ingress.end(calls::AttemptResult::NotReached);
@@ -211,7 +211,7 @@
 
 /// Sends `count` calls, of which `successes` in ten are answered and the others lost at every
 /// attempt; returns the number of attempts.
-fn count_attempts(ingress: &mut Ingress, count: u32, successes: u32) -> u32 {
+fn count_attempts(ingress: &mut IngressNode, count: u32, successes: u32) -> u32 {
     let mut attempts = 0;
     for number in 0..count {
         let mut effect = ingress.arrive("GET", 1);
@@ -232,13 +232,13 @@
 
 #[test]
 fn budget_kept() {
-    let mut ingress = Ingress::new(3);
+    let mut ingress = IngressNode::new(3);
     assert_eq!(
         count_attempts(&mut ingress, 1000, 0),
         1003,
         "the initial budget and no more"
     );
-    let mut ingress = Ingress::new(3);
+    let mut ingress = IngressNode::new(3);
     let half = count_attempts(&mut ingress, 1000, 5);
     let range = 1050..=1053;
     assert!(
@@ -249,7 +249,7 @@
 
 #[test]
 fn leaving_costs_none() {
-    let mut ingress = Ingress::new(3);
+    let mut ingress = IngressNode::new(3);
     count_attempts(&mut ingress, 10, 0);
     let leaving = refused(code::ResultCode::NodeStopping).elsewhere();
     let leaving = calls::AttemptResult::Refused(leaving);
@@ -266,7 +266,7 @@
     // service fail.
     const HOP_COUNT: usize = 9;
     const CALLS: u32 = 500;
-    let mut hops: Vec<Ingress> = (0..HOP_COUNT).map(|_| Ingress::new(3)).collect();
+    let mut hops: Vec<IngressNode> = (0..HOP_COUNT).map(|_| IngressNode::new(3)).collect();
     let mut sent = [0_u32; HOP_COUNT];
     for _ in 0..CALLS {
         call_hop(&mut hops, &mut sent, 0, 1);
@@ -279,7 +279,7 @@
 
 /// Sends a call at one hop and counts its attempts there in `sent`; returns the status that the
 /// caller receives.
-fn call_hop(hops: &mut [Ingress], sent: &mut [u32], depth: usize, attempt: u32) -> u16 {
+fn call_hop(hops: &mut [IngressNode], sent: &mut [u32], depth: usize, attempt: u32) -> u16 {
     let mut effect = hops[depth].arrive("GET", attempt);
     loop {
         let calls::CallEffect::Attempt(_, plan) = &effect else {
--- a/crates/engine/tests/rollout.rs
+++ b/crates/engine/tests/rollout.rs
@@ -244,7 +244,7 @@
 
 #[test]
 fn only_answers_counted() {
-    let mut table = tally::TallyTable::default();
+    let mut table = tally::RunTallyTable::default();
     let target = "t-1".parse().expect("it is a name");
     let trial = entry(rollout::RolloutPhase::Trial);
     let target_tally = table.target_tally(&target, &trial, Some(&trial.to));
@@ -271,7 +271,7 @@
 
 #[test]
 fn new_version_restarts_count() {
-    let mut table = tally::TallyTable::default();
+    let mut table = tally::RunTallyTable::default();
     let target: ids::TargetName = "t-1".parse().expect("it is a name");
     let trial = entry(rollout::RolloutPhase::Trial);
     let route = name("issue");
--- a/crates/engine/tests/routing.rs
+++ b/crates/engine/tests/routing.rs
@@ -54,13 +54,13 @@
 }
 
 /// An ingress node with targets on other nodes.
-struct Ingress {
+struct IngressNode {
     node: node::NodeReducer,
     last_call: u64,
     service_us: fn(&str) -> u32,
 }
 
-impl Ingress {
+impl IngressNode {
     /// Creates targets given as (name, data centre, region, slots), each on a node of its own.
     fn new(targets: &[(&str, &str, &str, u32)]) -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries());
@@ -134,14 +134,14 @@
 
 #[test]
 fn near_first() {
-    let mut ingress = Ingress::new(&[REMOTE, REGION, NEAR]);
+    let mut ingress = IngressNode::new(&[REMOTE, REGION, NEAR]);
     let spread = ingress.spread("/", 50, |_| 3);
     assert_eq!(spread, IndexMap::from([("near".into(), 50)]));
 }
 
 #[test]
 fn spills_by_pressure() {
-    let mut ingress = Ingress::new(&[REMOTE, REGION, NEAR]);
+    let mut ingress = IngressNode::new(&[REMOTE, REGION, NEAR]);
     let full = |target: &str| if target == "near" { 15 } else { 2 };
     let spread = ingress.spread("/", 50, full);
     assert!(spread["region"] >= 45, "{spread:?}");
@@ -152,14 +152,14 @@
 
 #[test]
 fn none_near_without_spill() {
-    let mut ingress = Ingress::new(&[REGION, REMOTE]);
+    let mut ingress = IngressNode::new(&[REGION, REMOTE]);
     assert_eq!(ingress.arrive("/near"), None);
     assert!(ingress.arrive("/").is_some());
 }
 
 #[test]
 fn own_calls_counted() {
-    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
+    let mut ingress = IngressNode::new(&[NEAR, SECOND_NEAR]);
     let mut counts = IndexMap::<String, u32>::new();
     for _ in 0..10 {
         let (_, target) = ingress.arrive("/").expect("there are targets");
@@ -173,14 +173,14 @@
 
 #[test]
 fn slow_gets_less() {
-    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
+    let mut ingress = IngressNode::new(&[NEAR, SECOND_NEAR]);
     ingress.service_us = |target| if target == "near" { 5000 } else { 1000 };
     let spread = ingress.spread("/", 100, |_| 3);
     assert!(spread["near"] <= 2, "it is five times slower: {spread:?}");
     let full = |target: &str| if target == "near" { 1 } else { 30 };
     let spread = ingress.spread("/", 100, full);
     assert!(spread["near"] >= 98, "the fast target is full: {spread:?}");
-    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
+    let mut ingress = IngressNode::new(&[NEAR, SECOND_NEAR]);
     ingress.service_us = |target| if target == "near" { 1300 } else { 1000 };
     let spread = ingress.spread("/", 100, |_| 3);
     assert!(
@@ -191,7 +191,7 @@
 
 #[test]
 fn reports_fade() {
-    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
+    let mut ingress = IngressNode::new(&[NEAR, SECOND_NEAR]);
     let spread = ingress.spread("/", 100, |target| if target == "near" { 9 } else { 1 });
     assert!(spread["near"] <= 2, "{spread:?}");
     ingress.node.advance(Duration::from_secs(30));
@@ -204,7 +204,7 @@
 
 #[test]
 fn new_starts_slowly() {
-    let mut ingress = Ingress::new(&[NEAR]);
+    let mut ingress = IngressNode::new(&[NEAR]);
     ingress.spread("/", 10, |_| 0);
     let identity = node::identity("node-new", "brasov-a", "ro-centru");
     let new = vec![node::target("new", "registru", 10)];
@@ -231,7 +231,7 @@
 
 #[test]
 fn leaving_is_out() {
-    let mut ingress = Ingress::new(&[NEAR, SECOND_NEAR]);
+    let mut ingress = IngressNode::new(&[NEAR, SECOND_NEAR]);
     ingress.spread("/", 10, |_| 0);
     let identity = node::identity("node-near", "brasov-a", "ro-centru");
     let mut record = node::target("near", "registru", 10);
@@ -243,7 +243,7 @@
 
 #[test]
 fn silent_is_last() {
-    let mut ingress = Ingress::new(&[NEAR]);
+    let mut ingress = IngressNode::new(&[NEAR]);
     // No messages arrive for long enough that membership considers the node unreachable.
     for _ in 0..600 {
         ingress.node.advance(Duration::from_millis(100));
--- a/crates/engine/tests/throttle.rs
+++ b/crates/engine/tests/throttle.rs
@@ -28,14 +28,14 @@
     ])
 }
 
-struct Ingress {
+struct IngressNode {
     node: node::NodeReducer,
     last_call: u64,
     /// Code with which targets refuse calls.
     code: code::ResultCode,
 }
 
-impl Ingress {
+impl IngressNode {
     fn new() -> Self {
         let mut node = node::NodeReducer::new("node-1", "brasov-a", &entries());
         let identity = node::identity("node-2", "brasov-a", "ro-centru");
@@ -100,7 +100,7 @@
 /// Most calls are refused without an offer while no target has capacity.
 #[test]
 fn saturated_service_throttled() {
-    let mut ingress = Ingress::new();
+    let mut ingress = IngressNode::new();
     ingress.count_refused("/lookup/1", false);
     let refused = ingress.count_refused("/lookup/1", false);
     assert!(refused >= 70, "{refused} of 100 refused without an offer");
@@ -115,7 +115,7 @@
 /// Throttling ends once targets have capacity again.
 #[test]
 fn capacity_found_again() {
-    let mut ingress = Ingress::new();
+    let mut ingress = IngressNode::new();
     ingress.count_refused("/lookup/1", false);
     let seconds = (0..4).map(|_| ingress.count_refused("/lookup/1", true));
     let refused: Vec<usize> = seconds.collect();
@@ -124,14 +124,14 @@
 
 #[test]
 fn other_route_offered() {
-    let mut ingress = Ingress::new();
+    let mut ingress = IngressNode::new();
     ingress.count_refused("/lookup/1", false);
     assert_eq!(ingress.count_refused("/issue/1", true), 0);
 }
 
 #[test]
 fn few_calls_offered() {
-    let mut ingress = Ingress::new();
+    let mut ingress = IngressNode::new();
     let refused = (0..20).filter(|_| {
         ingress.node.now = ingress.node.now + Duration::from_millis(500);
         ingress.send("/lookup/1", false).is_some()
@@ -147,7 +147,7 @@
 /// still offered, so that their callers get the refusal that names the rate limit.
 #[test]
 fn rate_not_throttled() {
-    let mut ingress = Ingress::new();
+    let mut ingress = IngressNode::new();
     ingress.code = code::ResultCode::RateExceeded;
     let refusals = (0..200).filter_map(|_| ingress.send("/lookup/1", false));
     assert_eq!(refusals.count(), 0, "each call is offered");
--- a/crates/engine/tests/transit.rs
+++ b/crates/engine/tests/transit.rs
@@ -90,7 +90,7 @@
 /// rebooted.
 #[test]
 fn opened_under_congestion() {
-    let meters = transit::MeterTable::default();
+    let meters = transit::TransitMeterTable::default();
     let peer: ids::InstanceName = "node-2".parse().expect("it is a name");
     let record = |incarnation: u64, sent, received| {
         let meter = meters.of_peer(&peer, ids::IncarnationNumber(incarnation));
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -112,7 +112,7 @@
     };
     time::sleep(behaviour.latency(target.since_start())).await;
     if is_crash_request(&parts) {
-        run.end(runs::RunEnd::Crashed);
+        run.end(runs::RunOutcome::Crashed);
         target.crash_as_scripted(&behaviour);
         return std::future::pending().await;
     }
@@ -137,7 +137,7 @@
     if behaviour.pieces > 1 {
         return stream_response(status, text, &behaviour, run);
     }
-    run.end(runs::RunEnd::Answered);
+    run.end(runs::RunOutcome::Answered);
     text_response(status, &pad(text, behaviour.answer_bytes))
 }
 
@@ -262,22 +262,22 @@
     response
 }
 
-type PieceFuture = Pin<Box<dyn Future<Output = Option<(PieceResult, BodyStream)>> + Send>>;
-type PieceResult = Result<Frame<Bytes>, std::io::Error>;
+type BodyFrameFuture = Pin<Box<dyn Future<Output = Option<(BodyFrameResult, BodyStream)>> + Send>>;
+type BodyFrameResult = Result<Frame<Bytes>, std::io::Error>;
 
-fn next_piece(mut state: BodyStream) -> PieceFuture {
+fn next_piece(mut state: BodyStream) -> BodyFrameFuture {
     Box::pin(async move {
         time::sleep(state.pause).await;
         if let Some(piece) = state.pieces.pop() {
             if state.pieces.is_empty() && !state.is_truncated {
-                state.end(runs::RunEnd::Answered);
+                state.end(runs::RunOutcome::Answered);
             }
             return Some((Ok(Frame::data(piece)), state));
         }
         if !state.is_truncated {
             return None;
         }
-        state.end(runs::RunEnd::Cut);
+        state.end(runs::RunOutcome::Cut);
         Some((
             Err(std::io::Error::other("body truncated as scripted")),
             state,
@@ -286,7 +286,7 @@
 }
 
 impl BodyStream {
-    fn end(&mut self, end: runs::RunEnd) {
+    fn end(&mut self, end: runs::RunOutcome) {
         if let Some(run) = self.run.take() {
             run.end(end);
         }
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -29,7 +29,7 @@
 
 /// Result of one send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendResult {
     /// A target sent a complete response with a status below 400.
     Answered,
     /// A target sent a complete response with a status from 400.
@@ -49,7 +49,7 @@
     Cut,
 }
 
-impl SendEnd {
+impl SendResult {
     /// Whether this result proves that the request did not run by this send.
     pub fn is_not_run(&self) -> bool {
         match self {
@@ -76,7 +76,7 @@
     /// Number of sends.
     pub sends: u32,
     /// Result of the last send.
-    pub end: SendEnd,
+    pub end: SendResult,
     /// Whether the results of all sends prove that the request never ran.
     pub is_never_run: bool,
     /// Whether a response belonged to another request.
@@ -118,7 +118,7 @@
             kind: call.kind,
             latency: Duration::ZERO,
             sends: 0,
-            end: SendEnd::NotConnected,
+            end: SendResult::NotConnected,
             is_never_run: true,
             is_crossed: false,
             truncated_responses: 0,
@@ -130,7 +130,7 @@
             record.sends += 1;
             record.is_never_run &= end.is_not_run();
             record.is_crossed |= is_crossed;
-            record.truncated_responses += u32::from(end == SendEnd::Cut);
+            record.truncated_responses += u32::from(end == SendResult::Cut);
             let is_safe = kind.is_idempotent() || kind.keyed || record.is_never_run;
             let is_done = end.is_final() || !is_safe || record.sends >= self.settings.sends;
             record.end = end;
@@ -154,24 +154,26 @@
         kind: &mix::RequestKind,
         number: u64,
         tag: &str,
-    ) -> (SendEnd, bool) {
+    ) -> (SendResult, bool) {
         let request = prepare(kind, node, number, tag);
         let exchange = async {
             match self.connections.send(node, request).await {
                 Ok((response, sender)) => {
                     let (end, is_crossed) = read(response, tag).await;
-                    if !matches!(end, SendEnd::Cut) {
+                    if !matches!(end, SendResult::Cut) {
                         self.connections.keep(node, sender);
                     }
                     (end, is_crossed)
                 }
-                Err(connections::SendError::NotConnected { .. }) => (SendEnd::NotConnected, false),
-                Err(connections::SendError::Broken { .. }) => (SendEnd::Broken, false),
+                Err(connections::SendError::NotConnected { .. }) => {
+                    (SendResult::NotConnected, false)
+                }
+                Err(connections::SendError::Broken { .. }) => (SendResult::Broken, false),
             }
         };
         time::timeout(self.settings.timeout, exchange)
             .await
-            .unwrap_or((SendEnd::Broken, false))
+            .unwrap_or((SendResult::Broken, false))
     }
 }
 
@@ -220,10 +222,10 @@
 }
 
 /// Reads a whole response. Also returns whether it belongs to another request.
-async fn read(response: Response<Incoming>, tag: &str) -> (SendEnd, bool) {
+async fn read(response: Response<Incoming>, tag: &str) -> (SendResult, bool) {
     let (parts, body) = response.into_parts();
     let Ok(body) = body.collect().await else {
-        return (SendEnd::Cut, false);
+        return (SendResult::Cut, false);
     };
     let text = |name: &str| {
         parts
@@ -232,18 +234,18 @@
             .and_then(|value| value.to_str().ok())
     };
     if let Some(code) = text(headers::CODE) {
-        let end = SendEnd::Refused {
+        let end = SendResult::Refused {
             code: code.into(),
             is_not_run: text(headers::OUTCOME) == Some(headers::NOT_RUN_OUTCOME),
         };
         return (end, false);
     }
     if parts.status.is_client_error() || parts.status.is_server_error() {
-        return (SendEnd::Failed(parts.status), false);
+        return (SendResult::Failed(parts.status), false);
     }
     let bytes = body.to_bytes();
     let has_tag = bytes
         .windows(tag.len())
         .any(|window| window == tag.as_bytes());
-    (SendEnd::Answered, !has_tag && !bytes.is_empty())
+    (SendResult::Answered, !has_tag && !bytes.is_empty())
 }
--- a/crates/standin/src/load/collect.rs
+++ b/crates/standin/src/load/collect.rs
@@ -105,7 +105,7 @@
     fn add(&mut self, record: &call::CallRecord, value: u32) {
         self.sent += 1;
         self.resends += u64::from(record.sends - 1);
-        if record.end == call::SendEnd::Answered {
+        if record.end == call::SendResult::Answered {
             self.answered += 1;
             self.value += u64::from(value);
             self.latency
@@ -132,7 +132,7 @@
         statistics.add(&record, kind.value);
         let statistics = state.classes.entry(kind.class.clone()).or_default();
         statistics.add(&record, kind.value);
-        if record.end == call::SendEnd::Answered {
+        if record.end == call::SendResult::Answered {
             state.answered += 1;
             let index = (planned.as_secs_f64() / self.point_duration.as_secs_f64()) as usize;
             let points = state.series.entry(kind.class.clone()).or_default();
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -93,18 +93,18 @@
     fn count(&mut self, record: &call::CallRecord) {
         self.resends += u64::from(record.sends - 1);
         let (counts, name) = match &record.end {
-            call::SendEnd::Answered => {
+            call::SendResult::Answered => {
                 self.answered += 1;
                 return;
             }
-            call::SendEnd::Failed(status) => (&mut self.failed, status.as_u16().to_string()),
-            call::SendEnd::Refused { code, is_not_run } => {
+            call::SendResult::Failed(status) => (&mut self.failed, status.as_u16().to_string()),
+            call::SendResult::Refused { code, is_not_run } => {
                 let outcome = if *is_not_run { "not-run" } else { "unknown" };
                 (&mut self.refused, format!("{code} {outcome}"))
             }
-            call::SendEnd::NotConnected => (&mut self.unanswered, "not connected".into()),
-            call::SendEnd::Broken => (&mut self.unanswered, "broken".into()),
-            call::SendEnd::Cut => (&mut self.unanswered, "cut".into()),
+            call::SendResult::NotConnected => (&mut self.unanswered, "not connected".into()),
+            call::SendResult::Broken => (&mut self.unanswered, "broken".into()),
+            call::SendResult::Cut => (&mut self.unanswered, "cut".into()),
         };
         *counts.entry(name).or_insert(0) += 1;
     }
--- a/crates/standin/src/load/verdict.rs
+++ b/crates/standin/src/load/verdict.rs
@@ -119,7 +119,7 @@
                 &mut verdict.answered_without_run,
                 is_proven
                     && logs.unread.is_empty()
-                    && record.end == call::SendEnd::Answered
+                    && record.end == call::SendResult::Answered
                     && runs == 0,
             ),
         ];
@@ -138,10 +138,10 @@
     verdict
 }
 
-fn is_lost(end: &call::SendEnd) -> bool {
+fn is_lost(end: &call::SendResult) -> bool {
     matches!(
         end,
-        call::SendEnd::Broken | call::SendEnd::NotConnected | call::SendEnd::Cut
+        call::SendResult::Broken | call::SendResult::NotConnected | call::SendResult::Cut
     )
 }
 
--- a/crates/standin/src/runs.rs
+++ b/crates/standin/src/runs.rs
@@ -10,7 +10,7 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// The whole response was handed to the HTTP connection.
     Answered,
     /// The response was truncated as scripted.
@@ -35,7 +35,7 @@
     /// Sequence number of the start of the run among all starts and ends of runs at this target.
     pub began: u64,
     /// Sequence number of the end of the run among them, and how the run ended.
-    pub ended: Option<(u64, RunEnd)>,
+    pub ended: Option<(u64, RunOutcome)>,
 }
 
 #[derive(Debug, Default)]
@@ -54,12 +54,12 @@
 }
 
 /// A run in progress. If it is dropped before [`OpenRun::end`] is called, the run is logged as
-/// [`RunEnd::Dropped`].
+/// [`RunOutcome::Dropped`].
 #[derive(Debug)]
 pub struct OpenRun {
     log: RunLog,
     index: usize,
-    end: RunEnd,
+    end: RunOutcome,
 }
 
 impl RunLog {
@@ -99,7 +99,7 @@
         Some(OpenRun {
             log: self.clone(),
             index: state.records.len() - 1,
-            end: RunEnd::Dropped,
+            end: RunOutcome::Dropped,
         })
     }
 
@@ -110,7 +110,7 @@
 
 impl OpenRun {
     /// Logs the end of the run.
-    pub fn end(mut self, end: RunEnd) {
+    pub fn end(mut self, end: RunOutcome) {
         self.end = end;
     }
 }
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -81,7 +81,7 @@
     let settings = settings::LoadSettings::builder(vec![unused], mix())
         .stand_ins(vec![unused])
         .build();
-    let refused = call::SendEnd::Refused {
+    let refused = call::SendResult::Refused {
         code: "HZ3003".into(),
         is_not_run: true,
     };
@@ -91,12 +91,12 @@
     };
     let (lookup, issue) = (0, 1);
     let table = [
-        (issue, call::SendEnd::Answered, 1, clean.clone()),
-        (lookup, call::SendEnd::Answered, 2, clean.clone()),
+        (issue, call::SendResult::Answered, 1, clean.clone()),
+        (lookup, call::SendResult::Answered, 2, clean.clone()),
         (issue, refused.clone(), 0, clean.clone()),
         (
             issue,
-            call::SendEnd::Answered,
+            call::SendResult::Answered,
             2,
             verdict::LoadVerdict {
                 doubled: 1,
@@ -114,7 +114,7 @@
         ),
         (
             lookup,
-            call::SendEnd::Broken,
+            call::SendResult::Broken,
             1,
             verdict::LoadVerdict {
                 lost: 1,
@@ -123,7 +123,7 @@
         ),
         (
             lookup,
-            call::SendEnd::Answered,
+            call::SendResult::Answered,
             0,
             verdict::LoadVerdict {
                 answered_without_run: 1,
--- a/crates/standin/tests/target.rs
+++ b/crates/standin/tests/target.rs
@@ -106,8 +106,8 @@
         time::sleep(Duration::from_millis(10)).await;
     }
     let runs = target.runs();
-    assert_eq!(runs[0].ended, Some((2, runs::RunEnd::Crashed)));
-    assert_eq!(runs[1].ended, Some((4, runs::RunEnd::Answered)));
+    assert_eq!(runs[0].ended, Some((2, runs::RunOutcome::Crashed)));
+    assert_eq!(runs[1].ended, Some((4, runs::RunOutcome::Answered)));
     target.stop();
     while status(&target, "/vehicles/3").await.is_some() {
         time::sleep(Duration::from_millis(10)).await;
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -52,7 +52,7 @@
     /// What their callers do after a failure or refusal.
     pub caller_policy: CallerPolicy,
     /// Calls that each run makes itself; the run fails if one of them fails.
-    pub inner: Option<InnerCalls>,
+    pub inner: Option<NestedCalls>,
 }
 
 impl CallKind {
@@ -80,7 +80,7 @@
 
 /// Concurrent calls that a run makes.
 #[derive(Debug, Clone, Copy)]
-pub struct InnerCalls {
+pub struct NestedCalls {
     /// Index of their kind.
     pub kind: usize,
     /// Number of calls.
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -38,12 +38,12 @@
 }
 
 #[derive(Debug, Clone)]
-struct SourceRules {
+struct SourceFaultRules {
     default: FaultRule,
     by_source: IndexMap<IpAddr, FaultRule>,
 }
 
-impl SourceRules {
+impl SourceFaultRules {
     fn rule(&self, source: IpAddr) -> FaultRule {
         self.by_source.get(&source).copied().unwrap_or(self.default)
     }
@@ -55,7 +55,7 @@
     /// Address that the proxy listens on.
     pub address: SocketAddr,
     upstream: Arc<watch::Sender<Option<SocketAddr>>>,
-    rules: Arc<watch::Sender<SourceRules>>,
+    rules: Arc<watch::Sender<SourceFaultRules>>,
 }
 
 const CHUNK_BYTES: usize = 16 << 10;
@@ -69,7 +69,7 @@
         let address = listener
             .local_addr()
             .expect("a bound listener has an address");
-        let rules = SourceRules {
+        let rules = SourceFaultRules {
             default: FaultRule::Pass,
             by_source: IndexMap::new(),
         };
@@ -89,7 +89,7 @@
 
     /// Sets the rule for all sources and removes the rules for single sources.
     pub fn set_all(&self, rule: FaultRule) {
-        self.rules.send_replace(SourceRules {
+        self.rules.send_replace(SourceFaultRules {
             default: rule,
             by_source: IndexMap::new(),
         });
@@ -132,15 +132,15 @@
     }
 }
 
-async fn wait_for_cut(mut rules: watch::Receiver<SourceRules>, source: IpAddr) {
-    let is_cut = |source_rules: &SourceRules| source_rules.rule(source) == FaultRule::Cut;
+async fn wait_for_cut(mut rules: watch::Receiver<SourceFaultRules>, source: IpAddr) {
+    let is_cut = |source_rules: &SourceFaultRules| source_rules.rule(source) == FaultRule::Cut;
     drop(rules.wait_for(is_cut).await);
 }
 
 async fn copy(
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
-    mut rules: watch::Receiver<SourceRules>,
+    mut rules: watch::Receiver<SourceFaultRules>,
     source: IpAddr,
 ) {
     let mut chunk = vec![0; CHUNK_BYTES];
@@ -150,7 +150,7 @@
             return;
         };
         let is_not_silent =
-            |source_rules: &SourceRules| source_rules.rule(source) != FaultRule::Silent;
+            |source_rules: &SourceFaultRules| source_rules.rule(source) != FaultRule::Silent;
         let Ok(rule) = rules
             .wait_for(is_not_silent)
             .await
--- a/crates/testkit/src/reducers.rs
+++ b/crates/testkit/src/reducers.rs
@@ -52,7 +52,7 @@
     start_number: u64,
 }
 
-enum Delivery {
+enum DeliveredInput {
     Tick,
     Event(Box<event::Event>),
 }
@@ -63,7 +63,7 @@
     to: SocketAddr,
     /// Start of the process that it is meant for; `None` for any.
     start_number: Option<u64>,
-    delivery: Delivery,
+    delivery: DeliveredInput,
 }
 
 impl PartialEq for QueuedDelivery {
@@ -227,7 +227,7 @@
             self.now_micros + tick_offset,
             to,
             Some(start_number),
-            Delivery::Tick,
+            DeliveredInput::Tick,
         );
     }
 
@@ -287,7 +287,7 @@
                 self.now_micros,
                 to,
                 None,
-                Delivery::Event(Box::new(event::Event::Dissemination(event))),
+                DeliveredInput::Event(Box::new(event::Event::Dissemination(event))),
             );
         }
         self.accepted.version
@@ -296,7 +296,12 @@
     /// Delivers an event to a process at the current time.
     pub fn inject(&mut self, name: &str, event: event::Event) {
         let to = self.process(name).state.settings.identity.address;
-        self.queue_at(self.now_micros, to, None, Delivery::Event(Box::new(event)));
+        self.queue_at(
+            self.now_micros,
+            to,
+            None,
+            DeliveredInput::Event(Box::new(event)),
+        );
     }
 
     /// Runs the simulation for a time.
@@ -359,7 +364,7 @@
         at_micros: u64,
         to: SocketAddr,
         start_number: Option<u64>,
-        delivery: Delivery,
+        delivery: DeliveredInput,
     ) {
         self.order += 1;
         let queued = QueuedDelivery {
@@ -383,12 +388,12 @@
             return;
         }
         let event = match queued.delivery {
-            Delivery::Tick => {
+            DeliveredInput::Tick => {
                 let next = self.now_micros + TICK_MICROS;
-                self.queue_at(next, queued.to, queued.start_number, Delivery::Tick);
+                self.queue_at(next, queued.to, queued.start_number, DeliveredInput::Tick);
                 event::Event::Tick
             }
-            Delivery::Event(event) => {
+            DeliveredInput::Event(event) => {
                 process.events += 1;
                 *event
             }
@@ -441,7 +446,7 @@
         let latency = latency_between(&sender, &receiver.state.settings.identity);
         if !receiver.is_running {
             let event = event::Event::LinkLost { address: to };
-            let delivery = Delivery::Event(Box::new(event));
+            let delivery = DeliveredInput::Event(Box::new(event));
             return self.queue_at(
                 self.now_micros + 2 * latency,
                 sender.address,
@@ -462,7 +467,7 @@
                 from: sender.clone(),
                 message: message.clone(),
             };
-            self.queue_at(at_micros, to, None, Delivery::Event(Box::new(event)));
+            self.queue_at(at_micros, to, None, DeliveredInput::Event(Box::new(event)));
         }
     }
 
--- a/crates/wire/src/dissemination.rs
+++ b/crates/wire/src/dissemination.rs
@@ -75,7 +75,7 @@
 
 /// Source of a [`FloorAnswer`], which determines how far it can be relied on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FloorProof {
+pub enum FloorAnswerSource {
     /// A control whose state a majority of the control group has just confirmed.
     Majority,
     /// A control without confirmation by a majority.
@@ -93,7 +93,7 @@
     /// Latest version known.
     pub version: ids::CatalogueVersion,
     /// Source of the answer.
-    pub proof: FloorProof,
+    pub proof: FloorAnswerSource,
 }
 
 /// Messages of dissemination.
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -50,9 +50,9 @@
             report.resends += request.sends - 1;
             report.doubled += usize::from(request.method == Method::POST && runs > 1);
             match request.end {
-                traffic::RequestEnd::Answered if runs > 0 => report.answered += 1,
-                traffic::RequestEnd::Refused if runs == 0 => report.refused += 1,
-                traffic::RequestEnd::Unknown => report.told_unknown += 1,
+                traffic::RequestOutcome::Answered if runs > 0 => report.answered += 1,
+                traffic::RequestOutcome::Refused if runs == 0 => report.refused += 1,
+                traffic::RequestOutcome::Unknown => report.told_unknown += 1,
                 _ => report.lost += 1,
             }
         }
--- a/src/demo/traffic.rs
+++ b/src/demo/traffic.rs
@@ -25,7 +25,7 @@
 
 /// Outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// A target answered.
     Answered,
     /// The request was refused as not run.
@@ -44,7 +44,7 @@
     /// Path, which is unique to this request.
     pub path: String,
     /// Outcome of the last send.
-    pub end: RequestEnd,
+    pub end: RequestOutcome,
     /// Number of sends.
     pub sends: usize,
 }
@@ -113,14 +113,14 @@
     let mut request = CallerRequest {
         method,
         path,
-        end: RequestEnd::Unanswered,
+        end: RequestOutcome::Unanswered,
         sends: 0,
     };
     for attempt in 0..MAX_SENDS {
         let node = nodes[(number as usize + attempt) % nodes.len()];
         request.sends += 1;
         request.end = send(node, &request, number).await;
-        if request.end == RequestEnd::Answered {
+        if request.end == RequestOutcome::Answered {
             break;
         }
         time::sleep(RESEND_PAUSE).await;
@@ -128,7 +128,7 @@
     request
 }
 
-async fn send(node: SocketAddr, request: &CallerRequest, number: u64) -> RequestEnd {
+async fn send(node: SocketAddr, request: &CallerRequest, number: u64) -> RequestOutcome {
     let sent = Request::builder()
         .method(request.method.clone())
         .uri(&request.path)
@@ -136,12 +136,12 @@
         .body(Full::default())
         .expect("the path is a URI");
     let Ok(response) = client::exchange(node, sent).await else {
-        return RequestEnd::Unanswered;
+        return RequestOutcome::Unanswered;
     };
     let outcome = response.headers().get("hazeltiller-outcome");
     match outcome.map(hyper::header::HeaderValue::as_bytes) {
-        Some(b"not-run") => RequestEnd::Refused,
-        None if response.status() == StatusCode::OK => RequestEnd::Answered,
-        _ => RequestEnd::Unknown,
+        Some(b"not-run") => RequestOutcome::Refused,
+        None if response.status() == StatusCode::OK => RequestOutcome::Answered,
+        _ => RequestOutcome::Unknown,
     }
 }
--- a/src/hazeltillerd.rs
+++ b/src/hazeltillerd.rs
@@ -86,20 +86,22 @@
     }
 }
 
-fn read_settings(path: PathBuf) -> Result<reload::LoadedFile, Vec<settings::fault::SettingsFault>> {
+fn read_settings(
+    path: PathBuf,
+) -> Result<reload::LoadedSettingsFile, Vec<settings::fault::SettingsFault>> {
     let text = std::fs::read_to_string(&path).map_err(|error| {
         let message = format!("{}: {error}", path.display());
         vec![settings::fault::SettingsFault::unreadable(message)]
     })?;
     let settings = settings::ProcessSettings::parse(&text)?;
-    Ok(reload::LoadedFile {
+    Ok(reload::LoadedSettingsFile {
         path,
         text,
         settings,
     })
 }
 
-async fn run(file: reload::LoadedFile, options: process::StartOptions) -> ExitCode {
+async fn run(file: reload::LoadedSettingsFile, options: process::StartOptions) -> ExitCode {
     // Installed first: without a handler, SIGHUP terminates the process.
     let hangups =
         unix::signal(unix::SignalKind::hangup()).expect("a handler for SIGHUP can be set at start");
--- a/tests/all/crashing.rs
+++ b/tests/all/crashing.rs
@@ -48,7 +48,7 @@
         let runs = targets
             .iter()
             .flat_map(hazeltiller_standin::target::StandInTarget::runs);
-        runs.filter(|run| matches!(run.ended, Some((_, runs::RunEnd::Crashed))))
+        runs.filter(|run| matches!(run.ended, Some((_, runs::RunOutcome::Crashed))))
             .count()
     };
     let outcome_when_quarantined =
